--- a/packages/core/src/config.c
+++ b/packages/core/src/config.c
@@ -11,7 +11,7 @@
 
 #define STEP "config.decode"
 #define DELTA_STEP "config.delta"
-#define DIGEST_SIZE 17
+#define DIGEST_SIZE 17 /* 16 hex digits and the NUL */
 #define WRITE_FLAGS (JSON_COMPACT | JSON_REAL_PRECISION(15))
 #define READ_FLAGS JSON_REJECT_DUPLICATES
 
@@ -24,15 +24,15 @@
 static struct sas_config *decode_config(json_t *json,
                                         const struct sas_model *model,
                                         struct sas_error *error);
-static json_t *load(const char *text, size_t size, const char *step,
-                    struct sas_error *error);
+static json_t *parse_json(const char *text, size_t size, const char *step,
+                          struct sas_error *error);
 static json_t *split_lines(const char *text);
 static json_t *diff(json_t *base, json_t *target);
-static json_t *patch(json_t *base, json_t *steps, size_t limit);
-static json_t *patch_text(const char *base, json_t *steps);
+static json_t *patch(json_t *base, json_t *edits, size_t limit);
+static json_t *patch_text(const char *base, json_t *edits);
 static void format_digest(char *out, uint64_t digest);
 
-/* Ownership. */
+/* Creation and references. */
 
 static bool
 is_name(const char *text)
@@ -42,26 +42,28 @@
 }
 
 struct sas_config *
-SasConfig_New(int64_t number, const char *operation, const char *operator_name,
-              int64_t accepted_ms, struct sas_sheet *sheet,
-              const char *sheet_text, struct sas_error *error)
+SasConfig_New(int64_t version, const char *operation,
+              const char *operator_name, int64_t accepted_ms,
+              struct sas_sheet *sheet, const char *sheet_text,
+              struct sas_error *error)
 {
-    if (number < 1 || number > SasConfig_MAX_NUMBER || accepted_ms < 0 ||
+    if (version < 1 || version > SasConfig_MAX_NUMBER || accepted_ms < 0 ||
         accepted_ms > SasSheet_MAX_AT_MS) {
         SasError_Set(error, SAS_EINVAL, STEP, "",
-                     "version %" PRId64 " or its time is out of bounds",
-                     number);
+                     "version %" PRId64 " or its time is out of range",
+                     version);
         return NULL;
     }
     if (operation[0] == '\0' || !is_name(operation) ||
         !is_name(operator_name) || strlen(sheet_text) > SasSheet_MAX_BYTES ||
         !g_utf8_validate(sheet_text, -1, NULL)) {
         SasError_Set(error, SAS_EINVAL, STEP, "",
-                     "operation, operator or sheet is out of bounds");
+                     "operation is empty, or operation, operator or sheet "
+                     "text is too long or not UTF-8");
         return NULL;
     }
     struct sas_config *config = g_atomic_rc_box_new0(struct sas_config);
-    config->number = number;
+    config->number = version;
     g_strlcpy(config->operation, operation, SasConfig_NAME_SIZE);
     g_strlcpy(config->operator_name, operator_name, SasConfig_NAME_SIZE);
     config->accepted_ms = accepted_ms;
@@ -93,7 +95,7 @@
     }
 }
 
-/* The base's rows with one more, which comes after those of its time. */
+/* Fills *sheet with base's rows and one more, after those of the same time. */
 static void
 insert_row(struct sas_sheet *sheet, const struct sas_sheet *base,
            const struct sas_intention *row)
@@ -124,7 +126,7 @@
                            quoted);
 }
 
-/* The base's text with one line more. */
+/* Returns base's sheet text (NULL: just the header) with one more line. */
 static char *
 append_line(const struct sas_config *base, const char *line)
 {
@@ -136,7 +138,7 @@
 struct sas_config *
 SasConfig_AddDrain(const struct sas_config *base,
                    const struct sas_model *model, const char *target,
-                   int64_t number, const char *operation,
+                   int64_t version, const char *operation,
                    const char *operator_name, int64_t now_ms,
                    struct sas_error *error)
 {
@@ -163,7 +165,7 @@
                      reason.reason);
     }
     else {
-        config = SasConfig_New(number, operation, operator_name, now_ms,
+        config = SasConfig_New(version, operation, operator_name, now_ms,
                                &sheet, text, error);
     }
     SasSheet_Free(&single);
@@ -179,7 +181,7 @@
     return offered > current;
 }
 
-/* The whole. */
+/* Full encoding. */
 
 static json_t *
 encode_head(const struct sas_config *config)
@@ -204,7 +206,7 @@
 SasConfig_Decode(const struct sas_model *model, const char *text, size_t size,
                  struct sas_error *error)
 {
-    json_auto_t *json = load(text, size, STEP, error);
+    json_auto_t *json = parse_json(text, size, STEP, error);
     return json == NULL ? NULL : decode_config(json, model, error);
 }
 
@@ -218,8 +220,9 @@
     return digest;
 }
 
-/* Deltas: the new rows and the new lines of the sheet, each either as a range
- * [first, count] of the base's or as itself. */
+/* Deltas. A delta has a list of edits for the rows and one for the lines of
+ * the sheet text. An edit is either a range [first, count] that is copied from
+ * the base, or a new row or line. */
 
 char *
 SasConfig_EncodeDelta(const struct sas_config *base,
@@ -243,24 +246,27 @@
     return json_dumps(json, WRITE_FLAGS);
 }
 
-/* The delta's own fields come off; what is left is the head and the steps. */
+/* Checks that the delta is made from this base and removes its base fields
+ * from the JSON, which leaves the header fields, the digest and the edits. */
 static int
 check_base(json_t *json, const struct sas_config *base,
            const struct sas_model *model, struct sas_error *error)
 {
-    json_int_t number = 0;
+    json_int_t version = 0;
     const char *base_digest = NULL;
-    char have[DIGEST_SIZE];
-    if (json_unpack(json, "{s:I,s:s}", "base", &number, "base_digest",
+    char actual[DIGEST_SIZE];
+    if (json_unpack(json, "{s:I,s:s}", "base", &version, "base_digest",
                     &base_digest) < 0) {
-        SasError_Set(error, SAS_EINVAL, DELTA_STEP, "", "no base");
+        SasError_Set(error, SAS_EINVAL, DELTA_STEP, "",
+                     "the delta names no base");
         return -1;
     }
-    format_digest(have, SasConfig_GetDigest(base, model));
-    if (number != base->number || strcmp(base_digest, have) != 0) {
+    format_digest(actual, SasConfig_GetDigest(base, model));
+    if (version != base->number || strcmp(base_digest, actual) != 0) {
         SasError_Set(error, SAS_ECONFLICT, DELTA_STEP, "",
-                     "made from version %" PRId64 ", not from %" PRId64,
-                     (int64_t)number, base->number);
+                     "base mismatch (version or digest): delta from version "
+                     "%" PRId64 ", applied to version %" PRId64,
+                     (int64_t)version, base->number);
         return -1;
     }
     json_object_del(json, "base");
@@ -268,9 +274,11 @@
     return 0;
 }
 
+/* Replaces the edits in the JSON by the rows and the sheet text that they
+ * produce from the base. */
 static int
-replace_steps(json_t *json, const struct sas_config *base,
-              const struct sas_model *model, struct sas_error *error)
+expand_edits(json_t *json, const struct sas_config *base,
+             const struct sas_model *model, struct sas_error *error)
 {
     json_auto_t *old_rows = encode_rows(base, model);
     json_t *rows =
@@ -283,7 +291,7 @@
     json_object_del(json, "digest");
     if (!whole) {
         SasError_Set(error, SAS_EINVAL, DELTA_STEP, "",
-                     "rows or sheet can't be rebuilt");
+                     "an edit of rows or sheet is malformed or out of range");
     }
     return whole ? 0 : -1;
 }
@@ -293,31 +301,31 @@
                      const struct sas_model *model, const char *text,
                      size_t size, struct sas_error *error)
 {
-    json_auto_t *json = load(text, size, DELTA_STEP, error);
+    json_auto_t *json = parse_json(text, size, DELTA_STEP, error);
     if (json == NULL || check_base(json, base, model, error) < 0) {
         return NULL;
     }
-    const char *wanted = json_string_value(json_object_get(json, "digest"));
-    g_autofree char *digest = g_strdup(wanted ? wanted : "");
-    if (replace_steps(json, base, model, error) < 0) {
+    const char *stated = json_string_value(json_object_get(json, "digest"));
+    g_autofree char *expected = g_strdup(stated ? stated : "");
+    if (expand_edits(json, base, model, error) < 0) {
         return NULL;
     }
     struct sas_config *config = decode_config(json, model, error);
     if (config == NULL) {
         return NULL;
     }
-    char have[DIGEST_SIZE];
-    format_digest(have, SasConfig_GetDigest(config, model));
-    if (strcmp(digest, have) != 0) {
+    char actual[DIGEST_SIZE];
+    format_digest(actual, SasConfig_GetDigest(config, model));
+    if (strcmp(expected, actual) != 0) {
         SasError_Set(error, SAS_EINVAL, DELTA_STEP, "",
-                     "the result is not the version that was meant");
+                     "the result's digest differs from the delta's");
         SasConfig_Unref(config);
         return NULL;
     }
     return config;
 }
 
-/* Rows as JSON. */
+/* Encoding and decoding of rows. */
 
 static const char *
 get_drain_name(const struct sas_intention *row, const struct sas_model *model)
@@ -359,7 +367,7 @@
     return rows;
 }
 
-/* The row's texts, still to be resolved. */
+/* A row's names, not yet resolved against the model. */
 struct row_names {
     const char *service;
     const char *from;
@@ -393,6 +401,8 @@
     return 0;
 }
 
+/* Checks and rounds share, headroom and cap. A cap needs a unit and a unit
+ * needs a cap. */
 static int
 check_numbers(struct sas_intention *row)
 {
@@ -449,21 +459,24 @@
     struct row_names names;
     memset(row, 0, sizeof(*row));
     if (unpack_row(json, row, &names) < 0) {
-        SasError_Set(error, SAS_EINVAL, STEP, "", "a row is malformed");
+        SasError_Set(error, SAS_EINVAL, STEP, "",
+                     "a row's field is missing, unknown, malformed or out of "
+                     "range");
         return -1;
     }
     int unit = SasSheet_FindUnit(names.unit);
     row->cap_unit = unit < 0 ? SAS_CAP_NONE : unit;
     if (unit < 0 || check_numbers(row) < 0) {
         SasError_Set(error, SAS_EINVAL, STEP, "",
-                     "a row's number or unit is out of bounds");
+                     "a row's share, headroom, cap or cap unit is invalid");
         return -1;
     }
     int rc = names.drain[0] != '\0' ? resolve_drain(row, &names, model)
                                     : resolve_shift(row, &names, model);
     if (rc < 0) {
         SasError_Set(error, SAS_EINVAL, STEP, "",
-                     "a row's name is unknown: '%.40s' '%.40s' '%.40s' "
+                     "a row's names are unknown or don't fit together: "
+                     "service '%.40s', from '%.40s', to '%.40s', drain "
                      "'%.40s'",
                      names.service, names.from, names.to, names.drain);
     }
@@ -476,7 +489,8 @@
 {
     size_t count = json_array_size(json);
     if (!json_is_array(json) || count > SasSheet_MAX_ROWS) {
-        SasError_Set(error, SAS_EINVAL, STEP, "", "no rows, or too many");
+        SasError_Set(error, SAS_EINVAL, STEP, "",
+                     "rows is not an array or has too many items");
         return -1;
     }
     sheet->rows = g_new0(struct sas_intention, count + 1);
@@ -500,25 +514,24 @@
 decode_config(json_t *json, const struct sas_model *model,
               struct sas_error *error)
 {
-    json_int_t number = 0;
+    json_int_t version = 0;
     json_int_t accepted_ms = 0;
     const char *operation = NULL;
     const char *operator_name = NULL;
     const char *text = NULL;
     json_t *rows = NULL;
-    if (json_unpack(json, "{s:I,s:s,s:s,s:I,s:o,s:s!}", "version", &number,
+    if (json_unpack(json, "{s:I,s:s,s:s,s:I,s:o,s:s!}", "version", &version,
                     "operation", &operation, "operator", &operator_name,
                     "accepted_ms", &accepted_ms, "rows", &rows, "sheet",
                     &text) < 0) {
         SasError_Set(error, SAS_EINVAL, STEP, "",
-                     "a field is missing, "
-                     "unknown or malformed");
+                     "a field is missing, unknown or malformed");
         return NULL;
     }
     struct sas_sheet sheet = {0};
     struct sas_config *config = NULL;
     if (decode_rows(rows, model, &sheet, error) == 0) {
-        config = SasConfig_New(number, operation, operator_name, accepted_ms,
+        config = SasConfig_New(version, operation, operator_name, accepted_ms,
                                &sheet, text, error);
     }
     SasSheet_Free(&sheet);
@@ -526,7 +539,8 @@
 }
 
 static json_t *
-load(const char *text, size_t size, const char *step, struct sas_error *error)
+parse_json(const char *text, size_t size, const char *step,
+           struct sas_error *error)
 {
     if (size > SasConfig_MAX_BYTES) {
         SasError_Set(error, SAS_EINVAL, step, "", "larger than %d bytes",
@@ -542,7 +556,7 @@
     return json;
 }
 
-/* Differences of two arrays. */
+/* Differences between two arrays. */
 
 static void
 format_digest(char *out, uint64_t digest)
@@ -561,12 +575,12 @@
     return lines;
 }
 
-/* Extends the last range when the item follows it, else opens a new one. */
+/* Extends the last range when the index follows it, else adds a new range. */
 static void
-append_range(json_t *steps, size_t index)
+append_range(json_t *edits, size_t index)
 {
-    size_t size = json_array_size(steps);
-    json_t *last = size > 0 ? json_array_get(steps, size - 1) : NULL;
+    size_t size = json_array_size(edits);
+    json_t *last = size > 0 ? json_array_get(edits, size - 1) : NULL;
     if (json_is_array(last)) {
         json_int_t first = json_integer_value(json_array_get(last, 0));
         json_t *count = json_array_get(last, 1);
@@ -576,11 +590,11 @@
             return;
         }
     }
-    json_array_append_new(steps, json_pack("[I,i]", (json_int_t)index, 1));
+    json_array_append_new(edits, json_pack("[I,i]", (json_int_t)index, 1));
 }
 
-/* The index of an equal item in the base: the one after the last match if
- * that is equal, else the first equal one; -1 when there is none. */
+/* Returns the index of an equal item in the base, or -1: prefers `next`, the
+ * item after the last match, so that ranges get long, else the first one. */
 static int
 find_equal(const GPtrArray *base, GHashTable *first, const char *item,
            guint next)
@@ -592,6 +606,7 @@
     return found == NULL ? -1 : GPOINTER_TO_INT(found) - 1;
 }
 
+/* Items as JSON texts, which can be compared and hashed. */
 static GPtrArray *
 dump_items(json_t *array)
 {
@@ -616,31 +631,31 @@
         g_hash_table_insert(first, g_ptr_array_index(old, i - 1),
                             GUINT_TO_POINTER(i));
     }
-    json_t *steps = json_array();
+    json_t *edits = json_array();
     guint next = 0;
     for (guint i = 0; i < new->len; i++) {
         int found = find_equal(old, first, g_ptr_array_index(new, i), next);
         if (found < 0) {
-            json_array_append(steps, json_array_get(target, i));
+            json_array_append(edits, json_array_get(target, i));
         }
         else {
-            append_range(steps, found);
+            append_range(edits, found);
             next = (guint)found + 1;
         }
     }
-    return steps;
+    return edits;
 }
 
 static int
-append_step(json_t *out, json_t *base, json_t *step, size_t limit)
+apply_edit(json_t *out, json_t *base, json_t *edit, size_t limit)
 {
-    if (!json_is_array(step)) {
-        json_array_append(out, step);
+    if (!json_is_array(edit)) {
+        json_array_append(out, edit);
         return json_array_size(out) > limit ? -1 : 0;
     }
     json_int_t first = -1;
     json_int_t count = -1;
-    if (json_unpack(step, "[I,I!]", &first, &count) < 0 || first < 0 ||
+    if (json_unpack(edit, "[I,I!]", &first, &count) < 0 || first < 0 ||
         count < 0) {
         return -1;
     }
@@ -655,19 +670,20 @@
     return 0;
 }
 
-/* NULL when a step is malformed or the result has over `limit` items. */
+/* Applies the edits to the base. NULL when an edit is malformed or the result
+ * has over `limit` items. */
 static json_t *
-patch(json_t *base, json_t *steps, size_t limit)
+patch(json_t *base, json_t *edits, size_t limit)
 {
-    if (!json_is_array(steps)) {
+    if (!json_is_array(edits)) {
         return NULL;
     }
     json_t *out = json_array();
     size_t i;
-    json_t *step;
-    json_array_foreach(steps, i, step)
+    json_t *edit;
+    json_array_foreach(edits, i, edit)
     {
-        if (append_step(out, base, step, limit) < 0) {
+        if (apply_edit(out, base, edit, limit) < 0) {
             json_decref(out);
             return NULL;
         }
@@ -676,10 +692,10 @@
 }
 
 static json_t *
-patch_text(const char *base, json_t *steps)
+patch_text(const char *base, json_t *edits)
 {
     json_auto_t *old = split_lines(base);
-    json_auto_t *lines = patch(old, steps, SasSheet_MAX_BYTES);
+    json_auto_t *lines = patch(old, edits, SasSheet_MAX_BYTES);
     if (lines == NULL) {
         return NULL;
     }
