--- a/packages/core/include/sas/model.h
+++ b/packages/core/include/sas/model.h
@@ -1,9 +1,10 @@
 /* model - the deployment as tables: regions, failure domains, entry VMs,
  * services, backend servers and links.
  *
- * Everything refers to everything else by its index in its table (a handle);
- * SasModel_NONE stands for "none". The settings package fills the tables;
- * nothing changes them afterwards, so all modules may read them.
+ * Rows refer to each other by their index in a table (a handle); SasModel_NONE
+ * stands for "none". In standalone mode the settings package fills the tables
+ * once. In platform mode sas/snapshot.h builds them from the fleet and keeps
+ * them up to date.
  */
 #ifndef SAS_MODEL_H
 #define SAS_MODEL_H
@@ -28,22 +29,23 @@
     int region;
 };
 
-/* What the traffic from one region to another may use. */
+/* Capacity for the traffic from one region to another. */
 struct sas_link {
     int from;
     int to;
     double mbit_per_s;
 };
 
-struct sas_vm { /* an entry VM; its index is its seat */
+struct sas_vm { /* an entry VM; its index is its member id */
     char name[SasModel_NAME_SIZE];
     int domain;
-    struct sas_address caller; /* callers' requests and look-ups */
+    struct sas_address caller; /* callers' requests and lookups */
     struct sas_address peer;   /* RPC between entry VMs */
     struct sas_address admin;  /* operators */
 };
 
-/* A path prefix whose requests may not run twice. */
+/* A path prefix whose requests are not idempotent: they must not be executed
+ * twice. */
 struct sas_once_route {
     char prefix[SasModel_NAME_SIZE * 2];
 };
@@ -60,7 +62,7 @@
     int service;
     int domain;
     struct sas_address address;
-    int slots;       /* requests it runs at the same time */
+    int slots;       /* execution slots: requests it runs concurrently */
     int connections; /* connections it accepts */
 };
 
@@ -92,31 +94,32 @@
 /* Releases the tables; the struct itself belongs to the caller. */
 void SasModel_Free(struct sas_model *model);
 
-/* Handle by name, or SasModel_NONE. */
+/* Return the handle for a name, or SasModel_NONE. */
 int SasModel_FindRegion(const struct sas_model *model, const char *name);
 int SasModel_FindDomain(const struct sas_model *model, const char *name);
 int SasModel_FindVm(const struct sas_model *model, const char *name);
 int SasModel_FindService(const struct sas_model *model, const char *name);
 int SasModel_FindBackend(const struct sas_model *model, const char *name);
 
-/* The region that a failure domain, VM or backend server stands in. */
+/* The region of an entry VM or a backend server. */
 int SasModel_GetVmRegion(const struct sas_model *model, int vm);
 int SasModel_GetBackendRegion(const struct sas_model *model, int backend);
 
-/* A service's backend servers in a region. */
+/* Number of a service's backend servers in a region. */
 int SasModel_CountBackends(const struct sas_model *model, int service,
                            int region);
 
-/* Slots of a service's backend servers in a region, all together. */
+/* Total execution slots of a service's backend servers in a region. */
 int SasModel_CountSlots(const struct sas_model *model, int service,
                         int region);
 
-/* Capacity of the link between two regions in Mbit/s; within a region, and
- * where no link is stated, it is unlimited: INFINITY. */
+/* Capacity of the link between two regions in Mbit/s; INFINITY (unlimited)
+ * within a region and where no link is configured. */
 double SasModel_GetLinkCapacity(const struct sas_model *model, int from,
                                 int to);
 
-/* True when requests for this path of the service may not run twice. */
+/* True when requests for this path of the service must not be executed
+ * twice. */
 bool SasModel_IsOnceRoute(const struct sas_model *model, int service,
                           const char *path);
 
--- a/packages/core/include/sas/sheet.h
+++ b/packages/core/include/sas/sheet.h
@@ -1,14 +1,13 @@
-/* sheet - the planner's morning sheet: CSV text to a table of intentions.
+/* sheet - parses the planners' CSV sheet of traffic shifts and drains.
  *
- * docs/SHEET.md states the columns. A sheet is taken whole or not at all:
- * after a failure the struct is empty and the error names row (1 is the
- * header; rows without any character are not counted), column and reason.
- * Rows are sorted by time; rows of the same time keep the sheet's order, so
- * that the later one wins.
+ * docs/SHEET.md defines the columns. Parsing is all or nothing: after a
+ * failure the struct is empty and the error names row (1 is the header; empty
+ * lines are not counted), column and reason. Rows are sorted by time; rows of
+ * the same time keep the sheet's order, so that the later one wins.
  *
  * Times are milliseconds since the epoch, shares and headroom 0 to 1. Shares
  * are multiples of SasSheet_SHARE_STEP and caps of SasSheet_CAP_STEP, so that
- * they survive a round trip through decimal text unchanged.
+ * a round trip through decimal text does not change them.
  */
 #ifndef SAS_SHEET_H
 #define SAS_SHEET_H
@@ -33,7 +32,7 @@
     SAS_CAP_NONE,
     SAS_CAP_REQUESTS,  /* req/s */
     SAS_CAP_MBIT,      /* Mbit/s */
-    SAS_CAP_CONCURRENT /* requests running at the same time */
+    SAS_CAP_CONCURRENT /* concurrent requests */
 };
 
 enum sas_drain_kind {
@@ -42,21 +41,21 @@
     SAS_DRAIN_VM
 };
 
-/* One row: a shift, or a drain (service, from and to are then none). */
+/* One row: a shift, or a drain (with service, from and to SasModel_NONE). */
 struct sas_intention {
     int64_t at_ms;
     int service;
     int from;
     int to;
-    double share;
+    double share; /* of from's callers that goes to `to` */
     double cap;
     enum sas_cap_unit cap_unit;
-    int64_t ramp_ms;
-    double headroom;
-    int64_t warm_ms;
+    int64_t ramp_ms; /* rise time of the share */
+    double headroom; /* the ramp holds while the target has less */
+    int64_t warm_ms; /* share is limited for this time, while caches warm */
     enum sas_drain_kind drain_kind;
     int drain_target; /* backend server or entry VM */
-    int row;          /* in the sheet, 0 when it is not known */
+    int row;          /* in the sheet, 0 when unknown */
 };
 
 struct sas_sheet {
@@ -66,19 +65,20 @@
 
 struct sas_sheet_error {
     int row;
-    char column[SasSheet_COLUMN_SIZE]; /* "" when no single one is wrong */
+    char column[SasSheet_COLUMN_SIZE]; /* "" if not about one column */
     char reason[SasSheet_REASON_SIZE];
 };
 
-/* Parses text accepted at now_ms; HH:MM is on that day at utc_offset_s.
- * Fills in *sheet, which the caller releases; 0, or -1 and *error. */
+/* Parses a sheet that is accepted at now_ms. A time HH:MM is on that day in
+ * the zone with utc_offset_s. Returns 0 and *sheet, which the caller releases
+ * with SasSheet_Free, or -1 and *error. */
 int SasSheet_Parse(struct sas_sheet *sheet, const struct sas_model *model,
                    const char *text, size_t size, int64_t now_ms,
                    int64_t utc_offset_s, struct sas_sheet_error *error);
 
-/* The checks that concern several rows together: sorted by time, shares of
- * one (service, from) never over 100%, no service and no deployment left
- * without a backend server or an entry VM. 0, or -1 and *error. */
+/* Checks the rules over several rows: sorted by time, shares of one (service,
+ * from) never above 100%, at least one backend server of each drained service
+ * and one entry VM remain. Returns 0, or -1 and *error. */
 int SasSheet_Check(const struct sas_sheet *sheet,
                    const struct sas_model *model,
                    struct sas_sheet_error *error);
@@ -86,11 +86,12 @@
 /* Releases the rows; the struct itself belongs to the caller. */
 void SasSheet_Free(struct sas_sheet *sheet);
 
-/* "req/s", "Mbit/s", "concurrent" or "", and back (-1 when unknown). */
+/* Convert a cap's unit to "req/s", "Mbit/s", "concurrent" or "" and back (-1
+ * when unknown). */
 const char *SasSheet_GetUnitName(enum sas_cap_unit unit);
 int SasSheet_FindUnit(const char *name);
 
-/* The nearest value that the steps above allow. */
+/* Round to a multiple of SasSheet_SHARE_STEP or SasSheet_CAP_STEP. */
 double SasSheet_RoundShare(double share);
 double SasSheet_RoundCap(double cap);
 
--- a/packages/core/src/model.c
+++ b/packages/core/src/model.c
@@ -4,7 +4,7 @@
 #include <math.h>
 #include <string.h>
 
-/* All finders walk a table whose rows start with the name. */
+/* Body of a Find function: searches a table by its rows' name. */
 #define FIND_BY_NAME(table, count, wanted)                                    \
     do {                                                                      \
         for (int i = 0; i < (count); i++) {                                   \
--- a/packages/core/src/sheet.c
+++ b/packages/core/src/sheet.c
@@ -9,7 +9,7 @@
 #define COLUMN_COUNT 8
 #define FIELD_SIZE 128
 #define DAY_MS INT64_C(86400000)
-#define SUM_TOLERANCE 1e-9
+#define SUM_TOLERANCE 1e-9 /* for rounding in a sum of shares */
 #define DIGITS "0123456789"
 #define BYTE_ORDER_MARK "\xef\xbb\xbf"
 #define RFC3339                                                               \
@@ -83,7 +83,7 @@
 {
     struct csv_parser csv;
     if (csv_init(&csv, CSV_STRICT | CSV_STRICT_FINI) != 0) {
-        return fail(parser->error, 0, "", "no memory");
+        return fail(parser->error, 0, "", "out of memory");
     }
     size_t done = csv_parse(&csv, text, size, on_field, on_row, parser);
     int rc = done < size ? -1 : csv_fini(&csv, on_field, on_row, parser);
@@ -105,10 +105,10 @@
     if (check_text(text, size, error) < 0) {
         return -1;
     }
-    size_t mark = strlen(BYTE_ORDER_MARK);
-    if (size >= mark && memcmp(text, BYTE_ORDER_MARK, mark) == 0) {
-        text += mark;
-        size -= mark;
+    size_t mark_size = strlen(BYTE_ORDER_MARK);
+    if (size >= mark_size && memcmp(text, BYTE_ORDER_MARK, mark_size) == 0) {
+        text += mark_size;
+        size -= mark_size;
     }
     struct parser parser = {.model = model,
                             .now_ms = now_ms,
@@ -157,7 +157,7 @@
     return check_drains(sheet, model, error);
 }
 
-/* Names and steps. */
+/* Unit names and rounding. */
 
 const char *
 SasSheet_GetUnitName(enum sas_cap_unit unit)
@@ -188,7 +188,7 @@
     return round(cap * 1e3) / 1e3;
 }
 
-/* Fields and rows as libcsv finds them. */
+/* Errors, and the callbacks of libcsv for fields and rows. */
 
 static int
 fail(struct sas_sheet_error *error, int row, const char *column,
@@ -240,7 +240,7 @@
 {
     for (int i = 0; i < COLUMN_COUNT; i++) {
         if (strcmp(parser->fields[i], column_names[i]) != 0) {
-            return fail_at(parser, i, "the header names another column");
+            return fail_at(parser, i, "unexpected column name in the header");
         }
     }
     return 0;
@@ -258,12 +258,12 @@
 }
 
 static int
-take_row(struct parser *parser, int columns)
+read_row(struct parser *parser, int columns)
 {
     if (columns != COLUMN_COUNT) {
         int last = MIN(columns, COLUMN_COUNT - 1);
         return fail(parser->error, parser->row, column_names[last],
-                    "%d columns where %d are expected", columns, COLUMN_COUNT);
+                    "%d columns, expected %d", columns, COLUMN_COUNT);
     }
     if (parser->row == 1) {
         return check_header(parser);
@@ -289,30 +289,32 @@
         return;
     }
     parser->row++;
-    parser->failed = take_row(parser, columns) < 0;
+    parser->failed = read_row(parser, columns) < 0;
 }
 
-/* Values of single fields: 0, or -1 when the text is not one. */
+/* Values of single fields. Parsers return 0, or -1 for malformed text. */
 
-/* A plain decimal number: no sign, exponent, infinity or hexadecimal. */
+/* Parses an unsigned decimal number of at most 12 digits before the point and
+ * `decimals` after it; no exponent, infinity or hexadecimal. *rest is the text
+ * after it. */
 static int
 parse_decimal(const char *text, size_t decimals, double *value,
               const char **rest)
 {
-    size_t whole = strspn(text, DIGITS);
-    size_t size = whole;
-    if (whole == 0 || whole > 12) {
+    size_t digits = strspn(text, DIGITS);
+    size_t length = digits;
+    if (digits == 0 || digits > 12) {
         return -1;
     }
-    if (text[whole] == '.') {
-        size_t fraction = strspn(text + whole + 1, DIGITS);
+    if (text[digits] == '.') {
+        size_t fraction = strspn(text + digits + 1, DIGITS);
         if (fraction == 0 || fraction > decimals) {
             return -1;
         }
-        size += 1 + fraction;
+        length += 1 + fraction;
     }
     *value = g_ascii_strtod(text, NULL);
-    *rest = text + size;
+    *rest = text + length;
     return 0;
 }
 
@@ -423,10 +425,10 @@
     }
     if (key == 3 || value == NULL) {
         return fail_at(parser, COLUMN_LIMITS,
-                       "not ramp=, headroom= or warm=, parted by ';'");
+                       "not ramp=, headroom= or warm=, separated by ';'");
     }
     if (*seen & (1u << key)) {
-        return fail_at(parser, COLUMN_LIMITS, "a limit is stated twice");
+        return fail_at(parser, COLUMN_LIMITS, "a limit is given twice");
     }
     *seen |= 1u << key;
     value = g_strstrip(value);
@@ -438,7 +440,7 @@
     }
     if (parse_seconds(value, key == 0 ? &row->ramp_ms : &row->warm_ms) < 0) {
         return fail_at(parser, COLUMN_LIMITS,
-                       "ramp and warm are whole seconds, a week at most");
+                       "ramp and warm are whole seconds, at most a week");
     }
     return 0;
 }
@@ -459,7 +461,7 @@
     return 0;
 }
 
-/* Kinds of rows. */
+/* Drain and shift rows. */
 
 static int
 parse_drain(struct parser *parser, struct sas_intention *row)
@@ -533,7 +535,7 @@
     return 0;
 }
 
-/* Several rows together. */
+/* Rules over several rows. */
 
 static int
 compare_times(const void *left, const void *right, void *data)
@@ -544,7 +546,7 @@
     return (a->at_ms > b->at_ms) - (a->at_ms < b->at_ms);
 }
 
-/* Sum of the shares that leave row's (service, from). */
+/* Sum of the shares shifted away from the row's (service, from). */
 static double
 sum_shares(const double *shares, const struct sas_model *model,
            const struct sas_intention *row)
@@ -559,9 +561,9 @@
     return sum;
 }
 
-/* Rows of one time take effect together, so the sum is checked only after
- * the last of them: "20% to A, 80% to B" may replace "80% to A, 20% to B"
- * whichever row stands first. */
+/* Rows of the same time take effect together, so the sum is checked only after
+ * the last of them: "20% to A, 80% to B" may replace "80% to A, 20% to B" in
+ * either order of rows. */
 static int
 check_shares(const struct sas_sheet *sheet, const struct sas_model *model,
              struct sas_sheet_error *error)
@@ -599,31 +601,34 @@
 check_drains(const struct sas_sheet *sheet, const struct sas_model *model,
              struct sas_sheet_error *error)
 {
-    g_autofree bool *backends = g_new0(bool, model->backend_count + 1);
-    g_autofree bool *vms = g_new0(bool, model->vm_count + 1);
-    g_autofree int *left = g_new0(int, model->service_count + 1);
+    g_autofree bool *drained_backends = g_new0(bool, model->backend_count + 1);
+    g_autofree bool *drained_vms = g_new0(bool, model->vm_count + 1);
+    g_autofree int *servers_left = g_new0(int, model->service_count + 1);
     int vms_left = model->vm_count;
-    /* One without slots has gone; only its name is still in the tables. */
+    /* A server without execution slots does not exist any more or is not known
+     * yet: its row only resolves a name in a stored sheet. */
     for (int i = 0; i < model->backend_count; i++) {
-        left[model->backends[i].service] += model->backends[i].slots > 0;
+        servers_left[model->backends[i].service] +=
+            model->backends[i].slots > 0;
     }
     for (int i = 0; i < sheet->row_count; i++) {
         const struct sas_intention *row = &sheet->rows[i];
         int target = row->drain_target;
-        if (row->drain_kind == SAS_DRAIN_BACKEND && !backends[target]) {
-            backends[target] = true;
+        if (row->drain_kind == SAS_DRAIN_BACKEND &&
+            !drained_backends[target]) {
+            drained_backends[target] = true;
             int service = model->backends[target].service;
-            if (model->backends[target].slots > 0 && --left[service] == 0) {
+            if (model->backends[target].slots > 0 &&
+                --servers_left[service] == 0) {
                 return fail(error, row->row, "drain",
                             "leaves %s without any backend server",
                             model->services[service].name);
             }
         }
-        if (row->drain_kind == SAS_DRAIN_VM && !vms[target]) {
-            vms[target] = true;
+        if (row->drain_kind == SAS_DRAIN_VM && !drained_vms[target]) {
+            drained_vms[target] = true;
             if (--vms_left == 0) {
-                return fail(error, row->row, "drain",
-                            "leaves no entry VM at all");
+                return fail(error, row->row, "drain", "leaves no entry VM");
             }
         }
     }
