--- a/packages/core/include/sas/place.h
+++ b/packages/core/include/sas/place.h
@@ -1,31 +1,32 @@
-/* place - which backend server of a region's list gets a request.
+/* place - load balancing policies: which backend server gets a request.
  *
- * The caller keeps one struct sas_place_server for each backend server that a
- * request may go to and asks a policy to pick one. The answer is an index
- * into that array, or SasModel_NONE when no usable server has room: the caller
- * then waits a little, spills to another region or refuses. A policy keeps no
- * pointer to the array and never looks at a clock; ages come in as
- * milliseconds. The figures that chose between them are in
- * docs/notes-placement.md.
+ * The caller fills in one struct sas_place_server for each candidate server
+ * and calls a policy's pick function. It returns an index into that array, or
+ * SasModel_NONE when no usable server has free capacity; the caller then waits
+ * a little, spills over to another region or refuses the request. A policy
+ * keeps no pointer to the array and reads no clock. docs/notes-placement.md
+ * compares the policies.
  *
- * | name            | picks |
- * | --- | --- |
- * | random          | any server with room |
- * | round-robin     | the next one with room |
- * | least-in-flight | the fewest requests of this entry VM |
- * | two-choices     | the lower estimated load of two drawn at random |
- * | least-load      | the lowest estimated load of all |
- * | owned           | a free place of those that this entry VM owns, near
- * first | | owned-first     | an owned free place, else one that looks idle |
- * | cone            | the own failure domain while the imbalance stays in the
- *                     cone, else the lowest estimated load of all |
+ *   random           any server with free capacity
+ *   round-robin      the next server with free capacity
+ *   least-in-flight  the fewest requests in flight from this entry VM, per
+ *                    execution slot
+ *   two-choices      the lower estimated load of two drawn at random
+ *   least-load       the lowest estimated load of all
+ *   owned            a free slot among those that this entry VM owns, in its
+ *                    own failure domain first
+ *   owned-first      an owned free slot, else a server that looks idle
+ *   cone             the own failure domain while the imbalance of loads
+ *                    stays inside the cone, else the lowest estimated load
  *
- * The first three see only this entry VM's own requests. The estimated load
- * is the own requests plus the others' as last reported, where a report loses
- * weight with its age in favour of the mean over all servers: half of it
- * after SasPlace_HALF_LIFE_MS. A server that shed a request is to be entered
- * as full (reported_load = slots + queue), whatever it reports; owned-first
- * borrows nothing from it for SasPlace_SHED_MS.
+ * The first three use only this entry VM's own requests. The estimated load is
+ * the own requests plus the last reported load from other entry VMs. A report
+ * decays exponentially with its age towards the mean over all servers, with
+ * the half-life SasPlace_HALF_LIFE_MS.
+ *
+ * The caller must enter a server that shed a request as full (reported_load =
+ * slots + queue) whatever the server reports, and set shed_lately for
+ * SasPlace_SHED_MS; owned-first borrows no slot from it during that time.
  */
 #ifndef SAS_PLACE_H
 #define SAS_PLACE_H
@@ -38,7 +39,7 @@
 
 #define SasPlace_HALF_LIFE_MS 30
 
-/* For so long after a server shed a request, shed_lately is to be true. */
+/* How long shed_lately stays set after a server shed a request. */
 #define SasPlace_SHED_MS 1000
 
 /* The cone of Zhou, Tan and Shroff, "Flexible Load Balancing with
@@ -47,17 +48,17 @@
 #define SasPlace_CONE 0.5
 
 struct sas_place_server {
-    int backend; /* handle */
-    int slots;
+    int backend;           /* handle */
+    int slots;             /* execution slots */
     int queue;             /* requests that may wait at the server */
     int own_in_flight;     /* sent by this entry VM, not yet answered */
-    double reported_load;  /* of the others: running and queued */
+    double reported_load;  /* from other entry VMs, running and queued */
     int64_t report_age_ms; /* negative: never reported */
-    int own_share;         /* slots of it that this entry VM owns */
+    int own_share;         /* execution slots that this entry VM owns */
     bool usable;           /* neither leaving, down, nor suspected */
-    bool same_domain;      /* as this entry VM */
-    bool cold;             /* started lately, serves slowly */
-    bool shed_lately;      /* it refused a request of this entry VM */
+    bool same_domain;      /* in this entry VM's failure domain */
+    bool cold;             /* started recently, serves slowly */
+    bool shed_lately;      /* refused a request of this entry VM */
 };
 
 struct sas_place_policy {
@@ -66,14 +67,15 @@
                 GRand *random);
 };
 
-/* NULL for an unknown name. */
+/* Returns the policy with that name, or NULL for an unknown one. */
 struct sas_place_policy *SasPlace_Create(const char *name);
 void SasPlace_Free(struct sas_place_policy *policy);
 
 /* The name of policy number i, or NULL past the last. */
 const char *SasPlace_GetName(int i);
 
-/* Estimated load of each server, in requests; loads holds count numbers. */
+/* Fills in loads[0..count) with the estimated load of each server, in
+ * requests. */
 void SasPlace_EstimateLoads(const struct sas_place_server *servers, int count,
                             double *loads);
 
--- a/packages/core/src/place.c
+++ b/packages/core/src/place.c
@@ -5,14 +5,14 @@
 
 #include "sas/model.h"
 
-#define COLD_WEIGHT 2.0
-#define NEAR_BONUS 1.0 /* puts a near server with a free slot first */
+#define COLD_WEIGHT 2.0 /* cost factor of a cold server's requests */
+#define LOCAL_BONUS 1.0 /* ranks a local server with a free slot first */
 
-struct state {
+struct policy_state {
     struct sas_place_policy policy;
-    int next; /* of round-robin */
+    int next; /* next index of round-robin */
     double *loads;
-    int capacity; /* of loads */
+    int capacity; /* number of elements in loads */
 };
 
 static int pick_random(struct sas_place_policy *self,
@@ -39,22 +39,23 @@
 static int pick_cone(struct sas_place_policy *self,
                      const struct sas_place_server *servers, int count,
                      GRand *random);
-static double *estimate(struct sas_place_policy *self,
-                        const struct sas_place_server *servers, int count);
-/* What a policy thinks of a server: the lowest is picked, INFINITY: no room.
- */
+static double *estimate_loads(struct sas_place_policy *self,
+                              const struct sas_place_server *servers,
+                              int count);
+/* Cost functions: the server with the lowest cost is picked; INFINITY excludes
+ * a server. "Local" means in this entry VM's failure domain. */
 static double cost_any(const struct sas_place_server *server, double load);
 static double cost_in_flight(const struct sas_place_server *server,
                              double load);
 static double cost_load(const struct sas_place_server *server, double load);
-static double cost_near_load(const struct sas_place_server *server,
-                             double load);
-static double cost_near_slot(const struct sas_place_server *server,
-                             double load);
+static double cost_local_load(const struct sas_place_server *server,
+                              double load);
+static double cost_local_slot(const struct sas_place_server *server,
+                              double load);
 static double cost_idle_slot(const struct sas_place_server *server,
                              double load);
 static double cost_owned(const struct sas_place_server *server, double load);
-static bool has_near_slot(const struct sas_place_server *server, double load);
+static bool has_local_slot(const struct sas_place_server *server, double load);
 static int pick_cheapest(const struct sas_place_server *servers,
                          const double *loads, int count, GRand *random,
                          double (*cost)(const struct sas_place_server *,
@@ -82,7 +83,7 @@
 {
     for (gsize i = 0; i < G_N_ELEMENTS(policies); i++) {
         if (strcmp(policies[i].name, name) == 0) {
-            struct state *state = g_new0(struct state, 1);
+            struct policy_state *state = g_new0(struct policy_state, 1);
             state->policy.pick = policies[i].pick;
             return &state->policy;
         }
@@ -94,7 +95,7 @@
 SasPlace_Free(struct sas_place_policy *policy)
 {
     if (policy != NULL) {
-        g_free(((struct state *)policy)->loads);
+        g_free(((struct policy_state *)policy)->loads);
         g_free(policy);
     }
 }
@@ -105,8 +106,8 @@
     return i < (int)G_N_ELEMENTS(policies) ? policies[i].name : NULL;
 }
 
-/* Both the report and the mean that replaces it lag, so neither may hide the
- * own requests: those are exact and always count in full. */
+/* Own requests are exact, so they always count in full; only the reports and
+ * their mean, which lag, are weighted by age. */
 void
 SasPlace_EstimateLoads(const struct sas_place_server *servers, int count,
                        double *loads)
@@ -145,7 +146,7 @@
                  GRand *random)
 {
     (void)random;
-    struct state *state = (struct state *)self;
+    struct policy_state *state = (struct policy_state *)self;
     for (int tried = 0; tried < count; tried++) {
         int i = state->next++ % count;
         state->next %= count;
@@ -165,13 +166,14 @@
     return pick_cheapest(servers, NULL, count, random, cost_in_flight);
 }
 
-/* Falls back to all servers, so that NONE means that none has room. */
+/* Falls back to all servers when neither of the two has free capacity, so that
+ * SasModel_NONE means that no server has any. */
 static int
 pick_two_choices(struct sas_place_policy *self,
                  const struct sas_place_server *servers, int count,
                  GRand *random)
 {
-    double *loads = estimate(self, servers, count);
+    double *loads = estimate_loads(self, servers, count);
     if (count >= 2) {
         int a = g_rand_int_range(random, 0, count);
         int b = (a + g_rand_int_range(random, 1, count)) % count;
@@ -189,7 +191,7 @@
                 const struct sas_place_server *servers, int count,
                 GRand *random)
 {
-    double *loads = estimate(self, servers, count);
+    double *loads = estimate_loads(self, servers, count);
     return pick_cheapest(servers, loads, count, random, cost_load);
 }
 
@@ -197,7 +199,7 @@
 pick_owned(struct sas_place_policy *self,
            const struct sas_place_server *servers, int count, GRand *random)
 {
-    double *loads = estimate(self, servers, count);
+    double *loads = estimate_loads(self, servers, count);
     return pick_cheapest(servers, loads, count, random, cost_owned);
 }
 
@@ -206,35 +208,35 @@
                  const struct sas_place_server *servers, int count,
                  GRand *random)
 {
-    double *loads = estimate(self, servers, count);
+    double *loads = estimate_loads(self, servers, count);
     int owned = pick_cheapest(servers, loads, count, random, cost_owned);
     return owned != SasModel_NONE
                ? owned
                : pick_cheapest(servers, loads, count, random, cost_idle_slot);
 }
 
-/* A near server with a free slot costs no waiting. Without one, inside the
- * cone any choice is delay-optimal in heavy traffic, so the nearest is;
- * outside it only the shortest queue is. */
+/* A local server with a free slot needs no waiting. Without one, any choice
+ * inside the cone is delay-optimal in heavy traffic, so a local server is
+ * picked; outside the cone only the shortest queue is optimal. */
 static int
 pick_cone(struct sas_place_policy *self,
           const struct sas_place_server *servers, int count, GRand *random)
 {
-    double *loads = estimate(self, servers, count);
-    int near = pick_cheapest(servers, loads, count, random, cost_near_slot);
-    if (near == SasModel_NONE && is_in_cone(servers, loads, count)) {
-        near = pick_cheapest(servers, loads, count, random, cost_near_load);
+    double *loads = estimate_loads(self, servers, count);
+    int picked = pick_cheapest(servers, loads, count, random, cost_local_slot);
+    if (picked == SasModel_NONE && is_in_cone(servers, loads, count)) {
+        picked = pick_cheapest(servers, loads, count, random, cost_local_load);
     }
-    return near != SasModel_NONE
-               ? near
+    return picked != SasModel_NONE
+               ? picked
                : pick_cheapest(servers, loads, count, random, cost_load);
 }
 
 static double *
-estimate(struct sas_place_policy *self, const struct sas_place_server *servers,
-         int count)
+estimate_loads(struct sas_place_policy *self,
+               const struct sas_place_server *servers, int count)
 {
-    struct state *state = (struct state *)self;
+    struct policy_state *state = (struct policy_state *)self;
     if (count > state->capacity) {
         state->loads = g_renew(double, state->loads, count);
         state->capacity = count;
@@ -243,7 +245,7 @@
     return state->loads;
 }
 
-/* The servers of the lowest cost are equally likely. */
+/* Breaks ties at random with equal probability. */
 static int
 pick_cheapest(const struct sas_place_server *servers, const double *loads,
               int count, GRand *random,
@@ -251,16 +253,16 @@
 {
     int best = SasModel_NONE;
     double best_cost = INFINITY;
-    int equals = 0;
+    int tied = 0;
     for (int i = 0; i < count; i++) {
-        double now = cost(&servers[i], loads == NULL ? 0 : loads[i]);
-        if (now < best_cost) {
+        double current = cost(&servers[i], loads == NULL ? 0 : loads[i]);
+        if (current < best_cost) {
             best = i;
-            best_cost = now;
-            equals = 1;
+            best_cost = current;
+            tied = 1;
         }
-        else if (isfinite(now) && now == best_cost &&
-                 g_rand_int_range(random, 0, ++equals) == 0) {
+        else if (isfinite(current) && current == best_cost &&
+                 g_rand_int_range(random, 0, ++tied) == 0) {
             best = i;
         }
     }
@@ -294,33 +296,33 @@
 }
 
 static double
-cost_near_load(const struct sas_place_server *server, double load)
+cost_local_load(const struct sas_place_server *server, double load)
 {
     return server->same_domain ? cost_load(server, load) : INFINITY;
 }
 
 static double
-cost_near_slot(const struct sas_place_server *server, double load)
+cost_local_slot(const struct sas_place_server *server, double load)
 {
-    return has_near_slot(server, load) ? cost_near_load(server, load)
-                                       : INFINITY;
+    return has_local_slot(server, load) ? cost_local_load(server, load)
+                                        : INFINITY;
 }
 
-/* At most one request waits before this one: by the time that it gets there
- * a slot is likely to be free. A server that reports less than it runs would
- * draw all that is borrowed and refuse it, over and over; its 503 is the only
- * sign, so that ends the borrowing for a while. */
+/* Allows at most one request to wait ahead of this one: by the time it arrives
+ * a slot is likely to be free. A server that reports less load than it has
+ * would attract all borrowing and refuse it again and again. Its 503 is the
+ * only sign of that, so a shed request stops borrowing for a while. */
 static double
 cost_idle_slot(const struct sas_place_server *server, double load)
 {
-    int most = server->slots + MIN(1, server->queue);
-    bool is_idle = load + 1 <= most && !server->shed_lately;
+    int max_load = server->slots + MIN(1, server->queue);
+    bool is_idle = load + 1 <= max_load && !server->shed_lately;
     return is_idle ? cost_load(server, load) : INFINITY;
 }
 
-/* A cold server's slowness outweighs its nearness. */
+/* Excludes cold servers: being slow outweighs being local. */
 static bool
-has_near_slot(const struct sas_place_server *server, double load)
+has_local_slot(const struct sas_place_server *server, double load)
 {
     return server->same_domain && !server->cold && load + 1 <= server->slots;
 }
@@ -332,7 +334,7 @@
         return INFINITY;
     }
     double cost = load * (server->cold ? COLD_WEIGHT : 1) / server->slots;
-    return has_near_slot(server, load) ? cost - NEAR_BONUS : cost;
+    return has_local_slot(server, load) ? cost - LOCAL_BONUS : cost;
 }
 
 static bool
