--- a/packages/core/include/sas/lookup.h
+++ b/packages/core/include/sas/lookup.h
@@ -1,15 +1,18 @@
-/* lookup - from a caller's address to a region and to entry VMs.
+/* lookup - maps a caller's address to a region and to entry VMs.
  *
- * The address's block is the longest prefix of the model's blocks that holds
- * it; an address outside all of them is its own /24 with the default home.
- * A block goes to the target with the lowest score -ln(u) / weight, u in
- * (0, 1) being the xxhash of block and target (weighted rendezvous hashing):
- * every node gives the same answer from the same weights, and a target whose
- * weight rises only takes blocks, one whose weight falls only loses some.
+ * An address belongs to the block with the longest matching prefix in the
+ * model. An address outside all blocks is treated as its own /24 block with
+ * the default home region.
  *
- * Answers are kept by service and block and worked out again by
- * SasLookup_Rebuild, which touches only the homes whose weights changed, and
- * of their blocks only those that can change owner.
+ * A block is assigned to the target with the lowest score -ln(u) / weight,
+ * where u in (0, 1) is derived from the xxHash of block and target (weighted
+ * rendezvous hashing). All nodes compute the same assignment from the same
+ * weights. Raising a target's weight only moves blocks to it, lowering it only
+ * moves blocks away from it.
+ *
+ * Assignments are cached by service and block. SasLookup_Rebuild updates them
+ * after a change of weights and recomputes only the home regions whose weights
+ * changed, and of their blocks only those that can change owner.
  */
 #ifndef SAS_LOOKUP_H
 #define SAS_LOOKUP_H
@@ -26,25 +29,26 @@
 #define SasLookup_JITTER 0.25 /* of the lifetime, either way */
 #define SasLookup_MAX_LIFETIME_MS 25000
 
-/* A region, or a site where there are more; at most 65536 in an array. */
+/* What a block can be assigned to: a region, or one site of several in it.
+ * At most 65536 in an array. */
 struct sas_target {
     uint64_t id; /* the same on all nodes */
     double weight;
 };
 
-/* Answers of one service. */
+/* Cached assignment of one service. */
 struct sas_lookup_answers {
-    uint16_t *owners;           /* region by block; NULL before the first */
+    uint16_t *owners; /* region by block; NULL before the first Rebuild */
     struct sas_target *targets; /* [home * region_count + region] */
 };
 
-/* Blocks are renumbered by home, so that a home's are side by side. */
+/* Blocks are renumbered so that those of one home region are contiguous. */
 struct sas_lookup {
     uint32_t *starts; /* disjoint ranges of addresses, sorted */
     int32_t *blocks;  /* their block, or SasModel_NONE */
     int range_count;
-    uint32_t *first_ranges; /* by the address's upper 16 bits, 65537 of them */
-    uint64_t *keys;         /* what is hashed, by block */
+    uint32_t *first_ranges; /* by an address's upper 16 bits, 65537 of them */
+    uint64_t *keys;         /* hash input, by block */
     int block_count;
     int *home_starts; /* first block by home, region_count + 1 of them */
 
@@ -54,61 +58,69 @@
     int service_count;
 };
 
-/* What is heard of an entry VM. Both sources lag. */
+/* Liveness of an entry VM as one source reports it, with a delay. */
 enum sas_vm_word {
-    SAS_VM_UNKNOWN, /* never heard */
+    SAS_VM_UNKNOWN, /* no report yet */
     SAS_VM_LIVE,
-    SAS_VM_DEAD /* silent, or absent from the list */
+    SAS_VM_DEAD /* answers no peer, or is absent from the platform's list */
 };
 
 struct sas_vm_view {
-    enum sas_vm_word peers;
-    enum sas_vm_word platform;
-    bool leaving; /* by sheet, list or its own word */
+    enum sas_vm_word peers;    /* by failure detection among entry VMs */
+    enum sas_vm_word platform; /* by the platform's list of VMs */
+    bool leaving;              /* by the sheet, that list or its own report */
 };
 
-/* Indexes the model's blocks; no service has answers yet. */
+/* Indexes the model's blocks. SasLookup_Rebuild then assigns them for each
+ * service. */
 void SasLookup_Init(struct sas_lookup *lookup, const struct sas_model *model);
 void SasLookup_Close(struct sas_lookup *lookup);
 
-/* Works out a service's answers after the plan changed. Returns how many
+/* Recomputes a service's assignment after the plan changed. Returns how many
  * blocks moved (all of them on the first call). */
 int SasLookup_Rebuild(struct sas_lookup *lookup, const struct sas_model *model,
                       const struct sas_plan *plan, int service);
 
-/* The region for a caller (host byte order); SasModel_NONE before the first
- * Rebuild of the service. */
+/* Returns the region for a caller's address (host byte order), or
+ * SasModel_NONE before the first Rebuild of the service. */
 int SasLookup_Find(const struct sas_lookup *lookup, int service,
                    uint32_t ipv4);
 
 /* The home region of the caller's block. */
 int SasLookup_FindHome(const struct sas_lookup *lookup, uint32_t ipv4);
 
-/* Entry VMs for a caller of a region, best first, at most max of them;
- * views by VM. VMs nobody doubts come first, within them the region's own,
- * spread by block. A VM that both sources doubt, or that is leaving, is out,
- * unless nothing else is left. Returns their number, 0 without any VM. */
+/* Fills in the entry VMs for a caller in a region, best first, at most max of
+ * them; views is indexed by VM. VMs that peers report dead, or that are
+ * unknown to peers and absent from the platform's list, come last. Within
+ * both groups the region's own VMs come first, then the less suspected, then
+ * an order that varies by block to spread the load. A VM that both sources
+ * report dead, or that is leaving, is left out, unless that applies to all:
+ * then the least suspected stay. Returns the number of VMs, 0 only when the
+ * model has none. */
 int SasLookup_OrderVms(const struct sas_lookup *lookup,
                        const struct sas_model *model, int region,
                        uint32_t ipv4, const struct sas_vm_view *views,
                        int *vms, int max);
 
-/* How long a caller may keep an answer, in ms, never over
- * SasLookup_MAX_LIFETIME_MS; random is in [0, 1). */
+/* Returns the TTL of an answer in ms: how long a caller may cache it, never
+ * above SasLookup_MAX_LIFETIME_MS. Short while a shift from the home region is
+ * under way. random in [0, 1) gives the jitter. */
 int64_t SasLookup_ChooseLifetime(const struct sas_plan *plan, int service,
                                  int home, double random);
 
-/* The owner of a key among targets, of which one has a weight over 0. */
+/* Returns the index of the target that a key is assigned to. At least one
+ * target needs a weight above 0. */
 int SasLookup_Choose(uint64_t key, const struct sas_target *targets,
                      int target_count);
 
-/* The same for many keys. */
+/* SasLookup_Choose for an array of keys. */
 void SasLookup_Assign(const uint64_t *keys, int count,
                       const struct sas_target *targets, int target_count,
                       uint16_t *owners);
 
-/* Turns the owners by old_targets into those by targets (same ids in the same
- * order), exactly as Assign would, hashing little. Returns how many moved. */
+/* Updates owners from old_targets to targets (same ids in the same order).
+ * The result equals that of SasLookup_Assign, with fewer hashes. Returns how
+ * many keys moved. */
 int SasLookup_Reassign(const uint64_t *keys, int count,
                        const struct sas_target *old_targets,
                        const struct sas_target *targets, int target_count,
--- a/packages/core/src/lookup.c
+++ b/packages/core/src/lookup.c
@@ -7,33 +7,37 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#define UNIT (1.0 / 9007199254740992.0) /* 2^-53 */
-#define SLACK (1 + 1e-12)
-#define OUTSIDE_PREFIX 24
-#define UPPER_COUNT 65536
-/* Doubt of an entry VM: peers speak every second, the list lags more. */
-#define DOUBT_PEERS_DEAD 2
-#define DOUBT_PEERS_UNKNOWN 1
-#define DOUBT_LIST_ABSENT 1
-#define DOUBT_OUT (DOUBT_PEERS_DEAD + DOUBT_LIST_ABSENT)
-#define DOUBT_LEAVING 16
+#define TWO_POW_MINUS_53 (1.0 / 9007199254740992.0)
+#define ROUNDING_SLACK (1 + 1e-12)
+#define DEFAULT_PREFIX_LENGTH 24 /* of an address outside all blocks */
+#define UPPER_HALF_COUNT 65536   /* values of an address's upper 16 bits */
+/* Suspicion scores of an entry VM. Peers count for more than the platform's
+ * list: they exchange state every second, while the list lags more. A VM with
+ * SUSPICION_EXCLUDED or more is left out of answers. */
+#define SUSPICION_PEERS_DEAD 2
+#define SUSPICION_PEERS_UNKNOWN 1
+#define SUSPICION_LIST_ABSENT 1
+#define SUSPICION_EXCLUDED (SUSPICION_PEERS_DEAD + SUSPICION_LIST_ABSENT)
+#define SUSPICION_LEAVING 16
 
 static uint64_t make_key(uint32_t network, int prefix_length);
 static uint64_t hash_name(const char *name);
-static double get_chance(uint64_t key, uint64_t id);
+static double hash_to_unit(uint64_t key, uint64_t id);
 static double get_score(uint64_t key, const struct sas_target *target);
 static void number_blocks(struct sas_lookup *lookup,
-                          const struct sas_model *model, int32_t *numbers);
-static void make_ranges(struct sas_lookup *lookup,
-                        const struct sas_model *model, const int32_t *numbers);
+                          const struct sas_model *model,
+                          int32_t *block_numbers);
+static void build_ranges(struct sas_lookup *lookup,
+                         const struct sas_model *model,
+                         const int32_t *block_numbers);
 static void index_ranges(struct sas_lookup *lookup);
 static int32_t find_block(const struct sas_lookup *lookup, uint32_t ipv4);
-static uint64_t get_caller_key(const struct sas_lookup *lookup, uint32_t ipv4);
+static uint64_t get_block_key(const struct sas_lookup *lookup, uint32_t ipv4);
 static int rebuild_home(struct sas_lookup *lookup,
                         struct sas_lookup_answers *answers,
                         const struct sas_target *targets, int home);
 
-/* Life. */
+/* Creation and release. */
 
 void
 SasLookup_Init(struct sas_lookup *lookup, const struct sas_model *model)
@@ -46,9 +50,9 @@
     lookup->answers =
         g_new0(struct sas_lookup_answers, model->service_count + 1);
 
-    g_autofree int32_t *numbers = g_new(int32_t, model->block_count + 1);
-    number_blocks(lookup, model, numbers);
-    make_ranges(lookup, model, numbers);
+    g_autofree int32_t *block_numbers = g_new(int32_t, model->block_count + 1);
+    number_blocks(lookup, model, block_numbers);
+    build_ranges(lookup, model, block_numbers);
     index_ranges(lookup);
 }
 
@@ -68,12 +72,12 @@
     memset(lookup, 0, sizeof(*lookup));
 }
 
-/* Answers. */
+/* Assignment of blocks to regions. */
 
-/* The targets of all homes, with the weights of the plan. */
+/* Returns targets[home * region_count + region] with the plan's weights. */
 static struct sas_target *
-make_targets(const struct sas_model *model, const struct sas_plan *plan,
-             int service)
+build_targets(const struct sas_model *model, const struct sas_plan *plan,
+              int service)
 {
     int regions = model->region_count;
     g_autofree uint64_t *ids = g_new(uint64_t, regions + 1);
@@ -99,7 +103,7 @@
                   const struct sas_plan *plan, int service)
 {
     struct sas_lookup_answers *answers = &lookup->answers[service];
-    struct sas_target *targets = make_targets(model, plan, service);
+    struct sas_target *targets = build_targets(model, plan, service);
     int moved = 0;
     if (answers->owners == NULL) {
         answers->owners = g_new0(uint16_t, lookup->block_count + 1);
@@ -123,7 +127,7 @@
     if (block != SasModel_NONE) {
         return answers->owners[block];
     }
-    return SasLookup_Choose(make_key(ipv4, OUTSIDE_PREFIX),
+    return SasLookup_Choose(make_key(ipv4, DEFAULT_PREFIX_LENGTH),
                             answers->targets +
                                 lookup->default_home * lookup->region_count,
                             lookup->region_count);
@@ -147,25 +151,25 @@
 
 struct vm_rank {
     int vm;
-    int doubt;
-    bool elsewhere;
+    int suspicion;
+    bool other_region;
     double score;
 };
 
 static int
-get_doubt(const struct sas_vm_view *view)
+get_suspicion(const struct sas_vm_view *view)
 {
-    int doubt = 0;
+    int suspicion = 0;
     if (view->peers == SAS_VM_DEAD) {
-        doubt += DOUBT_PEERS_DEAD;
+        suspicion += SUSPICION_PEERS_DEAD;
     }
     else if (view->peers == SAS_VM_UNKNOWN) {
-        doubt += DOUBT_PEERS_UNKNOWN;
+        suspicion += SUSPICION_PEERS_UNKNOWN;
     }
     if (view->platform == SAS_VM_DEAD) {
-        doubt += DOUBT_LIST_ABSENT;
+        suspicion += SUSPICION_LIST_ABSENT;
     }
-    return doubt + (view->leaving ? DOUBT_LEAVING : 0);
+    return suspicion + (view->leaving ? SUSPICION_LEAVING : 0);
 }
 
 static int
@@ -174,34 +178,34 @@
     (void)data;
     const struct vm_rank *a = left;
     const struct vm_rank *b = right;
-    bool a_dead = a->doubt >= DOUBT_PEERS_DEAD;
-    bool b_dead = b->doubt >= DOUBT_PEERS_DEAD;
+    bool a_dead = a->suspicion >= SUSPICION_PEERS_DEAD;
+    bool b_dead = b->suspicion >= SUSPICION_PEERS_DEAD;
     if (a_dead != b_dead) {
         return a_dead - b_dead;
     }
-    if (a->elsewhere != b->elsewhere) {
-        return a->elsewhere - b->elsewhere;
+    if (a->other_region != b->other_region) {
+        return a->other_region - b->other_region;
     }
-    if (a->doubt != b->doubt) {
-        return a->doubt - b->doubt;
+    if (a->suspicion != b->suspicion) {
+        return a->suspicion - b->suspicion;
     }
     return (a->score > b->score) - (a->score < b->score);
 }
 
-/* Failure: the platform's list is empty or stale, or this node is cut off and
- * hears no peer; either alone would leave callers without an answer. A VM is
- * out only if both doubt it or it is leaving, and when that takes out all,
- * those that are doubted least stay in. */
+/* Guards against an empty answer when the platform's list is empty or stale,
+ * or when this node is partitioned and hears from no peer. A VM is excluded
+ * only if both sources report it dead or it is leaving; if that applies to all
+ * VMs, those with the lowest suspicion stay. */
 static int
-keep_least_doubtful(struct vm_rank *ranks, int count)
+exclude_suspected(struct vm_rank *ranks, int count)
 {
     int least = G_MAXINT;
     int kept = 0;
     for (int i = 0; i < count; i++) {
-        least = MIN(least, ranks[i].doubt);
+        least = MIN(least, ranks[i].suspicion);
     }
     for (int i = 0; i < count; i++) {
-        if (ranks[i].doubt < MAX(DOUBT_OUT, least + 1)) {
+        if (ranks[i].suspicion < MAX(SUSPICION_EXCLUDED, least + 1)) {
             ranks[kept++] = ranks[i];
         }
     }
@@ -213,19 +217,19 @@
                    const struct sas_model *model, int region, uint32_t ipv4,
                    const struct sas_vm_view *views, int *vms, int max)
 {
-    uint64_t key = get_caller_key(lookup, ipv4);
+    uint64_t key = get_block_key(lookup, ipv4);
     g_autofree struct vm_rank *ranks =
         g_new0(struct vm_rank, model->vm_count + 1);
     for (int i = 0; i < model->vm_count; i++) {
         struct sas_target target = {hash_name(model->vms[i].name), 1};
         ranks[i] = (struct vm_rank){
             .vm = i,
-            .doubt = get_doubt(&views[i]),
-            .elsewhere = SasModel_GetVmRegion(model, i) != region,
+            .suspicion = get_suspicion(&views[i]),
+            .other_region = SasModel_GetVmRegion(model, i) != region,
             .score = get_score(key, &target),
         };
     }
-    int count = keep_least_doubtful(ranks, model->vm_count);
+    int count = exclude_suspected(ranks, model->vm_count);
     g_qsort_with_data(ranks, count, sizeof(ranks[0]), compare_ranks, NULL);
     count = MIN(count, max);
     for (int i = 0; i < count; i++) {
@@ -257,13 +261,14 @@
         if (targets[i].weight <= 0) {
             continue;
         }
-        /* 1 - u <= -ln(u): where even that is too much, no logarithm. The
-         * slack keeps rounding from passing over a winner. */
-        double chance = get_chance(key, targets[i].id);
-        if (1 - chance > best * targets[i].weight * SLACK) {
+        /* Since 1 - u <= -ln(u), the cheap bound rules out most targets
+         * without a logarithm. The slack covers rounding errors, so that the
+         * best target is never ruled out. */
+        double unit = hash_to_unit(key, targets[i].id);
+        if (1 - unit > best * targets[i].weight * ROUNDING_SLACK) {
             continue;
         }
-        double score = -log(chance) / targets[i].weight;
+        double score = -log(unit) / targets[i].weight;
         if (score < best) {
             best = score;
             owner = i;
@@ -282,14 +287,14 @@
     }
 }
 
-/* The owner among a kept owner and the targets that rose. */
+/* The owner among the current owner and the targets with a raised weight. */
 static int
-choose_risen(uint64_t key, const struct sas_target *targets, int owner,
-             const int *risen, int risen_count)
+choose_among_raised(uint64_t key, const struct sas_target *targets, int owner,
+                    const int *raised, int raised_count)
 {
     double best = get_score(key, &targets[owner]);
-    for (int i = 0; i < risen_count; i++) {
-        int target = risen[i];
+    for (int i = 0; i < raised_count; i++) {
+        int target = raised[i];
         double score = get_score(key, &targets[target]);
         if (score < best || (score == best && target < owner)) {
             best = score;
@@ -299,21 +304,21 @@
     return owner;
 }
 
-/* A block whose owner's weight did not fall can only go to a target whose
- * weight rose, since no other score got better; only blocks whose owner fell
- * are compared with all targets. */
+/* Only the score of a target with a raised weight improves. So a block whose
+ * owner's weight was not lowered can only move to such a target; only blocks
+ * whose owner's weight was lowered are compared with all targets. */
 int
 SasLookup_Reassign(const uint64_t *keys, int count,
                    const struct sas_target *old_targets,
                    const struct sas_target *targets, int target_count,
                    uint16_t *owners)
 {
-    g_autofree int *risen = g_new0(int, target_count + 1);
-    int risen_count = 0;
+    g_autofree int *raised = g_new0(int, target_count + 1);
+    int raised_count = 0;
     int moved = 0;
     for (int i = 0; i < target_count; i++) {
         if (targets[i].weight > old_targets[i].weight) {
-            risen[risen_count++] = i;
+            raised[raised_count++] = i;
         }
     }
     for (int i = 0; i < count; i++) {
@@ -321,8 +326,9 @@
         if (targets[owner].weight < old_targets[owner].weight) {
             owner = SasLookup_Choose(keys[i], targets, target_count);
         }
-        else if (risen_count > 0) {
-            owner = choose_risen(keys[i], targets, owner, risen, risen_count);
+        else if (raised_count > 0) {
+            owner = choose_among_raised(keys[i], targets, owner, raised,
+                                        raised_count);
         }
         moved += owner != owners[i];
         owners[i] = (uint16_t)owner;
@@ -340,19 +346,19 @@
     return (uint64_t)(network & mask) << 8 | (uint64_t)prefix_length;
 }
 
-/* A name's id, whatever its place in the node's tables. */
+/* Id of a name, the same on nodes that have it at another index. */
 static uint64_t
 hash_name(const char *name)
 {
     return XXH3_64bits(name, strlen(name));
 }
 
-/* The pair's u, in (0, 1). */
+/* Hash of key and target id, mapped to (0, 1): u of a score. */
 static double
-get_chance(uint64_t key, uint64_t id)
+hash_to_unit(uint64_t key, uint64_t id)
 {
     uint64_t hash = XXH3_64bits_withSeed(&key, sizeof(key), id);
-    return ((double)(hash >> 12) + 0.5) * (2 * UNIT);
+    return ((double)(hash >> 12) + 0.5) * (2 * TWO_POW_MINUS_53);
 }
 
 static double
@@ -361,15 +367,16 @@
     if (target->weight <= 0) {
         return INFINITY;
     }
-    return -log(get_chance(key, target->id)) / target->weight;
+    return -log(hash_to_unit(key, target->id)) / target->weight;
 }
 
-/* The index of blocks. */
+/* Index of blocks. */
 
-/* Gives each block its number, homes one after the other. */
+/* Numbers the blocks home region by home region: block_numbers[i] is the
+ * number of the model's block i. */
 static void
 number_blocks(struct sas_lookup *lookup, const struct sas_model *model,
-              int32_t *numbers)
+              int32_t *block_numbers)
 {
     int regions = model->region_count;
     lookup->home_starts = g_new0(int, regions + 1);
@@ -384,8 +391,8 @@
         g_memdup2(lookup->home_starts, (regions + 1) * sizeof(int));
     for (int i = 0; i < model->block_count; i++) {
         const struct sas_block *block = &model->blocks[i];
-        numbers[i] = next[block->home]++;
-        lookup->keys[numbers[i]] =
+        block_numbers[i] = next[block->home]++;
+        lookup->keys[block_numbers[i]] =
             make_key(block->network, block->prefix_length);
     }
 }
@@ -412,48 +419,51 @@
            (UINT64_C(1) << (32 - block->prefix_length));
 }
 
-/* Blocks come sorted, the outer before the inner. A stack holds those that
- * are open; when one ends, the one round it goes on. */
+/* Turns nested blocks into disjoint ranges. Blocks are sorted, an outer one
+ * before those inside it. A stack holds the blocks that contain the current
+ * address; where one ends, the range of the enclosing one continues. */
 static void
-make_ranges(struct sas_lookup *lookup, const struct sas_model *model,
-            const int32_t *numbers)
+build_ranges(struct sas_lookup *lookup, const struct sas_model *model,
+             const int32_t *block_numbers)
 {
-    size_t most = 2 * (size_t)model->block_count + 1;
-    int open[33 + 1];
+    size_t max_ranges = 2 * (size_t)model->block_count + 1;
+    int open_blocks[33 + 1]; /* nested prefixes of length 0 to 32 */
     int depth = 0;
-    lookup->starts = g_new0(uint32_t, most);
-    lookup->blocks = g_new0(int32_t, most);
+    lookup->starts = g_new0(uint32_t, max_ranges);
+    lookup->blocks = g_new0(int32_t, max_ranges);
     append_range(lookup, 0, SasModel_NONE);
     for (int i = 0; i <= model->block_count; i++) {
         uint64_t start = i < model->block_count ? model->blocks[i].network
                                                 : UINT64_C(1) << 32;
         while (depth > 0 &&
-               get_end(&model->blocks[open[depth - 1]]) <= start) {
-            uint64_t end = get_end(&model->blocks[open[--depth]]);
+               get_end(&model->blocks[open_blocks[depth - 1]]) <= start) {
+            uint64_t end = get_end(&model->blocks[open_blocks[--depth]]);
             append_range(lookup, end,
-                         depth > 0 ? numbers[open[depth - 1]] : SasModel_NONE);
+                         depth > 0 ? block_numbers[open_blocks[depth - 1]]
+                                   : SasModel_NONE);
         }
         if (i < model->block_count) {
-            append_range(lookup, start, numbers[i]);
-            open[depth++] = i;
+            append_range(lookup, start, block_numbers[i]);
+            open_blocks[depth++] = i;
         }
     }
 }
 
-/* The range that holds the first address of each upper half. */
+/* Stores, for each value of the upper 16 bits, the range that contains the
+ * first address with it. */
 static void
 index_ranges(struct sas_lookup *lookup)
 {
     uint32_t last = (uint32_t)lookup->range_count - 1;
     uint32_t upper = 0;
-    lookup->first_ranges = g_new(uint32_t, UPPER_COUNT + 1);
+    lookup->first_ranges = g_new(uint32_t, UPPER_HALF_COUNT + 1);
     for (uint32_t range = 0; range < last; range++) {
         uint32_t next = lookup->starts[range + 1];
-        for (; upper < UPPER_COUNT && upper << 16 < next; upper++) {
+        for (; upper < UPPER_HALF_COUNT && upper << 16 < next; upper++) {
             lookup->first_ranges[upper] = range;
         }
     }
-    for (; upper <= UPPER_COUNT; upper++) {
+    for (; upper <= UPPER_HALF_COUNT; upper++) {
         lookup->first_ranges[upper] = last;
     }
 }
@@ -476,10 +486,10 @@
 }
 
 static uint64_t
-get_caller_key(const struct sas_lookup *lookup, uint32_t ipv4)
+get_block_key(const struct sas_lookup *lookup, uint32_t ipv4)
 {
     int32_t block = find_block(lookup, ipv4);
-    return block == SasModel_NONE ? make_key(ipv4, OUTSIDE_PREFIX)
+    return block == SasModel_NONE ? make_key(ipv4, DEFAULT_PREFIX_LENGTH)
                                   : lookup->keys[block];
 }
 
