--- a/packages/core/src/plan.c
+++ b/packages/core/src/plan.c
@@ -5,14 +5,14 @@
 #include <string.h>
 
 #define MAX_WALL_MS SasSheet_MAX_AT_MS
-#define MAX_ELAPSED_MS INT64_C(604800000) /* bounds the clocks' arithmetic */
+#define MAX_ELAPSED_MS INT64_C(604800000) /* a week; prevents overflows */
 
 static int compare_rows(const void *left, const void *right, void *data);
-static void take_rows(struct sas_plan *plan, const struct sas_config *config);
+static void copy_rows(struct sas_plan *plan, const struct sas_config *config);
 static void make_shifts(struct sas_plan *plan);
 static void carry_over(struct sas_plan *plan, const struct sas_plan *old);
-static void take_signals(struct sas_plan *plan,
-                         const struct sas_plan_signals *signals);
+static void apply_signals(struct sas_plan *plan,
+                          const struct sas_plan_signals *signals);
 static int64_t advance_clock(struct sas_plan *plan, int64_t wall_ms,
                              int64_t monotonic_ms);
 static bool advance_shift(const struct sas_plan *plan, struct sas_shift *shift,
@@ -21,16 +21,17 @@
                             int from);
 static int find_shift(const struct sas_plan *plan, int service, int from,
                       int to);
-static bool is_from(const struct sas_plan *plan, int i, int service, int from);
-static double climb(const struct sas_intention *rows, int active, double level,
-                    double time_ms, double limit);
-static double get_schedule_point(const struct sas_plan *plan,
-                                 const struct sas_shift *shift);
+static bool is_shift_from(const struct sas_plan *plan, int i, int service,
+                          int from);
+static double ramp_up(const struct sas_intention *rows, int active_row,
+                      double share, double time_ms, double limit);
+static double get_scheduled_share(const struct sas_plan *plan,
+                                  const struct sas_shift *shift);
 
 static const char *const hold_names[] = {
     "", "measurements-old", "headroom-short", "cache-cold", "region-gone"};
 
-/* Life of a plan. */
+/* Creation and release. */
 
 void
 SasPlan_Build(struct sas_plan *plan, const struct sas_model *model,
@@ -53,7 +54,7 @@
     for (size_t i = 0; i < cells; i++) {
         plan->headroom[i] = NAN;
     }
-    take_rows(plan, config);
+    copy_rows(plan, config);
     make_shifts(plan);
     carry_over(plan, &old);
     SasPlan_Free(&old);
@@ -70,7 +71,7 @@
     memset(plan, 0, sizeof(*plan));
 }
 
-/* Time. */
+/* Advancing and seeding. */
 
 bool
 SasPlan_Advance(struct sas_plan *plan, int64_t wall_ms, int64_t monotonic_ms,
@@ -83,7 +84,7 @@
         plan->fresh_since_ms = plan->monotonic_ms;
         plan->fresh = false;
     }
-    take_signals(plan, signals);
+    apply_signals(plan, signals);
     for (int i = 0; i < plan->shift_count; i++) {
         changed |= advance_shift(plan, &plan->shifts[i], fresh, elapsed_ms);
     }
@@ -101,16 +102,16 @@
         plan->gone[to] || !(share > shift->in_force)) {
         return false;
     }
-    double point = get_schedule_point(plan, shift);
-    double level = fmin(share, fmin(point, shift->ordered));
-    if (level <= shift->in_force) {
+    double scheduled = get_scheduled_share(plan, shift);
+    double allowed = fmin(share, fmin(scheduled, shift->ordered));
+    if (allowed <= shift->in_force) {
         return false;
     }
-    shift->in_force = level;
+    shift->in_force = allowed;
     return true;
 }
 
-/* What is in force. */
+/* Shares and weights in force. */
 
 const struct sas_shift *
 SasPlan_FindShift(const struct sas_plan *plan, int service, int from, int to)
@@ -123,19 +124,21 @@
 SasPlan_GetShare(const struct sas_plan *plan, int service, int home,
                  int region)
 {
-    double left = 1;
+    double remaining = 1;
     int i = find_first_shift(plan, service, home);
-    for (; is_from(plan, i, service, home); i++) {
+    for (; is_shift_from(plan, i, service, home); i++) {
         const struct sas_shift *shift = &plan->shifts[i];
         if (shift->to == region) {
             return shift->in_force;
         }
-        left -= shift->in_force;
+        remaining -= shift->in_force;
     }
-    return region == home ? fmax(left, 0) : 0;
+    return region == home ? fmax(remaining, 0) : 0;
 }
 
-/* A region's part of what a gone home region leaves behind. */
+/* Free execution slots, by which the share of a home region that is down is
+ * distributed. Without a measurement the free part counts as
+ * SasPlan_MIN_HEADROOM. */
 static double
 get_free_slots(const struct sas_plan *plan, int service, int region)
 {
@@ -149,13 +152,13 @@
            (isnan(headroom) ? SasPlan_MIN_HEADROOM : fmax(headroom, 0));
 }
 
-/* Failure: a region dies and its callers' answers still name it, so every one
- * of them waits for a timeout. Its remaining share goes where slots are free;
- * when nobody has any the weight stays at home, for an answer is never
- * empty and the entry VMs refuse what can't be run. */
+/* Without this, lookups would keep naming a region that is down, and each of
+ * its callers would wait for a timeout. Its remaining share goes to regions
+ * with free execution slots. If no region has any, the weight stays at home:
+ * an answer is never empty, and entry VMs refuse what they can't run. */
 static void
-spread_home(const struct sas_plan *plan, int service, int home,
-            double *weights)
+distribute_home_share(const struct sas_plan *plan, int service, int home,
+                      double *weights)
 {
     int regions = plan->model->region_count;
     double sum = 0;
@@ -165,12 +168,12 @@
     if (sum <= 0) {
         return;
     }
-    double left = weights[home];
+    double remaining = weights[home];
     weights[home] = 0;
     for (int region = 0; region < regions; region++) {
         if (region != home) {
             weights[region] +=
-                left * get_free_slots(plan, service, region) / sum;
+                remaining * get_free_slots(plan, service, region) / sum;
         }
     }
 }
@@ -182,20 +185,21 @@
     for (int region = 0; region < plan->model->region_count; region++) {
         weights[region] = 0;
     }
-    double left = 1;
+    double remaining = 1;
     int i = find_first_shift(plan, service, home);
-    for (; is_from(plan, i, service, home); i++) {
+    for (; is_shift_from(plan, i, service, home); i++) {
         weights[plan->shifts[i].to] = plan->shifts[i].in_force;
-        left -= plan->shifts[i].in_force;
+        remaining -= plan->shifts[i].in_force;
     }
-    weights[home] = fmax(left, 0);
+    weights[home] = fmax(remaining, 0);
     if (plan->gone != NULL && plan->gone[home]) {
-        spread_home(plan, service, home, weights);
+        distribute_home_share(plan, service, home, weights);
     }
 }
 
-/* Failure: a row takes effect while callers hold answers from before it. From
- * SasPlan_AHEAD_MS before it the answers are short-lived already. */
+/* True from SasPlan_AHEAD_MS before the next row on. Lookup answers then get a
+ * short TTL, so that callers don't keep using answers from before the row when
+ * it takes effect. */
 static bool
 is_imminent(const struct sas_plan *plan, const struct sas_shift *shift)
 {
@@ -212,7 +216,7 @@
         return true;
     }
     int i = find_first_shift(plan, service, home);
-    for (; is_from(plan, i, service, home); i++) {
+    for (; is_shift_from(plan, i, service, home); i++) {
         if (plan->shifts[i].in_force != plan->shifts[i].ordered ||
             is_imminent(plan, &plan->shifts[i])) {
             return true;
@@ -244,10 +248,10 @@
     return hold_names[hold];
 }
 
-/* Finding. */
+/* Finding shifts. */
 
-/* The first shift of (service, from), or where it would stand: shifts are
- * sorted as the rows are. */
+/* Index of the first shift of (service, from), or of where it would be
+ * inserted. Shifts are sorted in the order of compare_rows. */
 static int
 find_first_shift(const struct sas_plan *plan, int service, int from)
 {
@@ -268,7 +272,7 @@
 }
 
 static bool
-is_from(const struct sas_plan *plan, int i, int service, int from)
+is_shift_from(const struct sas_plan *plan, int i, int service, int from)
 {
     return i < plan->shift_count && plan->shifts[i].service == service &&
            plan->shifts[i].from == from;
@@ -278,7 +282,7 @@
 find_shift(const struct sas_plan *plan, int service, int from, int to)
 {
     int i = find_first_shift(plan, service, from);
-    for (; is_from(plan, i, service, from); i++) {
+    for (; is_shift_from(plan, i, service, from); i++) {
         if (plan->shifts[i].to == to) {
             return i;
         }
@@ -286,7 +290,7 @@
     return SasModel_NONE;
 }
 
-/* Building. */
+/* Building from a configuration. */
 
 static int
 compare_rows(const void *left, const void *right, void *data)
@@ -307,7 +311,7 @@
 }
 
 static void
-take_rows(struct sas_plan *plan, const struct sas_config *config)
+copy_rows(struct sas_plan *plan, const struct sas_config *config)
 {
     const struct sas_sheet *sheet = &config->sheet;
     plan->rows = g_new0(struct sas_intention, sheet->row_count + 1);
@@ -352,36 +356,37 @@
     }
 }
 
-/* Failure: a new version that repeats a shift would begin its ramp again, and
- * the callers under way would all go home for a while. The share in force and
- * the warming done so far stay. */
+/* Keeps the share in force and the warm-up time of shifts that the new version
+ * repeats. Otherwise their ramps would begin again at 0, and the callers that
+ * were already shifted would all go home for a while. */
 static void
 carry_over(struct sas_plan *plan, const struct sas_plan *old)
 {
     for (int i = 0; i < plan->shift_count; i++) {
         struct sas_shift *shift = &plan->shifts[i];
-        const struct sas_shift *was =
+        const struct sas_shift *previous =
             SasPlan_FindShift(old, shift->service, shift->from, shift->to);
-        if (was == NULL) {
+        if (previous == NULL) {
             continue;
         }
-        shift->ordered = was->ordered;
-        shift->in_force = was->in_force;
-        shift->holding = was->holding;
-        shift->returning = was->returning;
-        if (was->active != SasModel_NONE) {
+        shift->ordered = previous->ordered;
+        shift->in_force = previous->in_force;
+        shift->holding = previous->holding;
+        shift->returning = previous->returning;
+        if (previous->active != SasModel_NONE) {
             const struct sas_intention *row =
-                &old->rows[was->first_row + was->active];
+                &old->rows[previous->first_row + previous->active];
             shift->carried_at_ms = row->at_ms;
             shift->carried_share = row->share;
-            shift->carried_flowing_ms = was->flowing_ms;
+            shift->carried_flowing_ms = previous->flowing_ms;
         }
     }
 }
 
 /* Clocks and signals. */
 
-/* Returns the monotonic time since the last call, as far as it is granted. */
+/* Advances the schedule clock. Returns the monotonic time since the last call,
+ * at most SasPlan_MAX_STEP_MS. */
 static int64_t
 advance_clock(struct sas_plan *plan, int64_t wall_ms, int64_t monotonic_ms)
 {
@@ -408,7 +413,7 @@
 }
 
 static void
-take_signals(struct sas_plan *plan, const struct sas_plan_signals *signals)
+apply_signals(struct sas_plan *plan, const struct sas_plan_signals *signals)
 {
     int regions = plan->model->region_count;
     int cells = plan->model->service_count * regions;
@@ -423,57 +428,60 @@
     }
 }
 
-/* Levels. */
+/* Ramps. */
 
-/* The share from which row i rises: that of the row before it. */
+/* The share at which row i's ramp starts: that of the row before it. */
 static double
-get_base(const struct sas_intention *rows, int i)
+get_ramp_start(const struct sas_intention *rows, int i)
 {
     return i > 0 ? rows[i - 1].share : 0;
 }
 
-/* The last row up to the active one whose rise covers the level; its ramp
- * says how fast the level may rise there. There is one for every level below
- * the active row's share, since the shares lead from 0 to it. */
+/* Returns the last row, up to the active one, whose ramp covers the share; it
+ * determines how fast the share may rise there. Every share below that of the
+ * active row is covered, since the ramps together lead from 0 to it. */
 static int
-find_rise(const struct sas_intention *rows, int active, double level)
+find_ramp_row(const struct sas_intention *rows, int active_row, double share)
 {
-    for (int i = active; i >= 0; i--) {
-        if (get_base(rows, i) <= level && level < rows[i].share) {
+    for (int i = active_row; i >= 0; i--) {
+        if (get_ramp_start(rows, i) <= share && share < rows[i].share) {
             return i;
         }
     }
     return SasModel_NONE;
 }
 
-/* The level after time_ms of rising at the ramps' rates, up to the limit. */
+/* The share after rising for time_ms at the rates of the ramps, at most the
+ * limit. */
 static double
-climb(const struct sas_intention *rows, int active, double level,
-      double time_ms, double limit)
+ramp_up(const struct sas_intention *rows, int active_row, double share,
+        double time_ms, double limit)
 {
-    while (level < limit) {
-        int i = find_rise(rows, active, level);
+    while (share < limit) {
+        int i = find_ramp_row(rows, active_row, share);
         if (i == SasModel_NONE) {
             break;
         }
         double top = fmin(rows[i].share, limit);
         if (rows[i].ramp_ms > 0) {
             double rate =
-                (rows[i].share - get_base(rows, i)) / rows[i].ramp_ms;
-            double needed_ms = (top - level) / rate;
+                (rows[i].share - get_ramp_start(rows, i)) / rows[i].ramp_ms;
+            double needed_ms = (top - share) / rate;
             if (needed_ms > time_ms) {
-                return level + rate * time_ms;
+                return share + rate * time_ms;
             }
             time_ms -= needed_ms;
         }
-        level = top;
+        share = top;
     }
-    return level;
+    return share;
 }
 
-/* Failure: this node's clock is behind that of the one which accepted the
- * version, and until it has caught up a shift that goes on has no row: its
- * callers go home, and what home has no room for comes back without a cap. */
+/* True when the row has taken effect. If this node's clock is behind that of
+ * the node which accepted the version, by at most SasPlan_SKEW_MS, rows up to
+ * the time of acceptance are due as well. Otherwise a shift that continues
+ * would have no row until the clock catches up: its callers would go home, and
+ * those above home's capacity would spill over without a cap. */
 static bool
 is_due(const struct sas_plan *plan, const struct sas_intention *row)
 {
@@ -489,15 +497,17 @@
 }
 
 static double
-get_schedule_point(const struct sas_plan *plan, const struct sas_shift *shift)
+get_scheduled_share(const struct sas_plan *plan, const struct sas_shift *shift)
 {
     const struct sas_intention *rows = plan->rows + shift->first_row;
     const struct sas_intention *row = &rows[shift->active];
-    return climb(rows, shift->active, shift->start_level,
-                 get_time_since(plan, row), row->share);
+    return ramp_up(rows, shift->active, shift->start_level,
+                   get_time_since(plan, row), row->share);
 }
 
-/* Moves to the row in force at the schedule's clock. */
+/* Activates the rows that the schedule clock has reached. On a new node
+ * (fresh) the time since a row counts as warm-up; a row repeated by a new
+ * version keeps its warm-up time. */
 static void
 activate_rows(const struct sas_plan *plan, struct sas_shift *shift, bool fresh)
 {
@@ -505,13 +515,13 @@
     int next = shift->active + 1;
     for (; next < shift->row_count && is_due(plan, &rows[next]); next++) {
         const struct sas_intention *row = &rows[next];
-        double level = 0;
+        double share = 0;
         if (next > 0) {
-            level =
-                climb(rows, next - 1, shift->start_level,
-                      row->at_ms - rows[next - 1].at_ms, rows[next - 1].share);
+            share = ramp_up(rows, next - 1, shift->start_level,
+                            row->at_ms - rows[next - 1].at_ms,
+                            rows[next - 1].share);
         }
-        shift->start_level = fmin(level, row->share);
+        shift->start_level = fmin(share, row->share);
         shift->active = next;
         shift->flowing_ms = fresh ? get_time_since(plan, row) : 0;
         if (row->at_ms == shift->carried_at_ms &&
@@ -521,31 +531,31 @@
     }
 }
 
-/* Failure: measurements stop arriving, or the target fills up for another
- * reason, and a share that rises by the clock alone pushes the region over
- * what it can carry. No rise without a recent, sufficient headroom. */
+/* Puts a ramp on hold without a recent measurement or without enough headroom.
+ * A share that rose by the clock alone would overload the target region when
+ * measurements stop arriving or when it fills up for another reason. */
 static enum sas_hold
-find_hold(double headroom, double wanted)
+find_hold(double headroom, double required)
 {
     if (isnan(headroom)) {
         return SAS_HOLD_MEASUREMENTS_OLD;
     }
-    if (headroom < fmax(wanted, SasPlan_MIN_HEADROOM)) {
+    if (headroom < fmax(required, SasPlan_MIN_HEADROOM)) {
         return SAS_HOLD_HEADROOM_SHORT;
     }
     return SAS_HOLD_NONE;
 }
 
-/* The level that the row allows now: the schedule's point, and less while the
- * target's caches are cold. Never less than what is in force already. */
+/* The share that the row allows now: the scheduled share, or less while the
+ * target's caches are cold, but never below the share in force. */
 static double
 get_limit(const struct sas_plan *plan, struct sas_shift *shift)
 {
     const struct sas_intention *rows = plan->rows + shift->first_row;
     const struct sas_intention *row = &rows[shift->active];
-    double limit = get_schedule_point(plan, shift);
+    double limit = get_scheduled_share(plan, shift);
     if (shift->flowing_ms < row->warm_ms) {
-        double base = fmin(get_base(rows, shift->active), row->share);
+        double base = fmin(get_ramp_start(rows, shift->active), row->share);
         double warm = fmax(base, SasPlan_WARM_SHARE * row->share);
         if (warm < limit) {
             shift->holding = SAS_HOLD_CACHE_COLD;
@@ -567,13 +577,13 @@
         return;
     }
     double limit = get_limit(plan, shift);
-    double level =
-        climb(rows, shift->active, shift->in_force, elapsed_ms, limit);
+    double share =
+        ramp_up(rows, shift->active, shift->in_force, elapsed_ms, limit);
     if (shift->returning) {
         double step = shift->ordered * elapsed_ms / SasPlan_RETURN_MS;
-        level = fmin(level, shift->in_force + step);
+        share = fmin(share, shift->in_force + step);
     }
-    shift->in_force = level;
+    shift->in_force = share;
 }
 
 static bool
--- a/packages/core/src/plan_capacity.c
+++ b/packages/core/src/plan_capacity.c
@@ -7,9 +7,9 @@
 struct capacity_check {
     const struct sas_model *model;
     const struct sas_demand *demand;
-    const struct sas_intention **active; /* [(service, from, to)] */
-    int *slots;                          /* [service, region], drains off */
-    int *drained;                        /* by backend server */
+    const struct sas_intention **rows_in_force; /* [(service, from, to)] */
+    int *slots;   /* [service, region], less drained servers */
+    int *drained; /* by backend server; 0 or 1 */
     struct sas_sheet_error *place;
     struct sas_error *error;
 };
@@ -37,11 +37,12 @@
     return check->demand[service * check->model->region_count + home];
 }
 
-/* What a shift carries in one unit: its share of the demand and its cap in
- * that unit, the lesser where both are known; NAN when neither is. */
+/* Load that a shift puts on its target, in one unit: the lesser of its share
+ * of the demand and its cap in that unit, or whichever is known; NAN when
+ * neither is. */
 static double
-get_carried(const struct sas_intention *row, double demand,
-            enum sas_cap_unit unit)
+get_shift_load(const struct sas_intention *row, double demand,
+               enum sas_cap_unit unit)
 {
     double share = row->share * demand;
     double cap = row->cap_unit == unit ? row->cap : NAN;
@@ -52,32 +53,33 @@
 }
 
 static const struct sas_intention *
-get_active(const struct capacity_check *check, int service, int from, int to)
+get_row_in_force(const struct capacity_check *check, int service, int from,
+                 int to)
 {
     int regions = check->model->region_count;
-    return check->active[(service * regions + from) * regions + to];
+    return check->rows_in_force[(service * regions + from) * regions + to];
 }
 
-/* Requests running in the region when every shift is complete. */
+/* Concurrent requests in the region when all ramps are complete. */
 static double
 sum_concurrent(const struct capacity_check *check, int service, int region)
 {
     double own = get_demand(check, service, region).concurrent;
-    double stays = 1;
+    double remaining = 1;
     double sum = 0;
     for (int other = 0; other < check->model->region_count; other++) {
         const struct sas_intention *in =
-            get_active(check, service, other, region);
+            get_row_in_force(check, service, other, region);
         const struct sas_intention *out =
-            get_active(check, service, region, other);
+            get_row_in_force(check, service, region, other);
         if (in != NULL) {
             double demand = get_demand(check, service, other).concurrent;
-            double carried = get_carried(in, demand, SAS_CAP_CONCURRENT);
-            sum += isnan(carried) ? 0 : carried;
+            double load = get_shift_load(in, demand, SAS_CAP_CONCURRENT);
+            sum += isnan(load) ? 0 : load;
         }
-        stays -= out != NULL ? out->share : 0;
+        remaining -= out != NULL ? out->share : 0;
     }
-    return sum + (isnan(own) ? 0 : own * fmax(stays, 0));
+    return sum + (isnan(own) ? 0 : own * fmax(remaining, 0));
 }
 
 static double
@@ -85,11 +87,12 @@
 {
     double sum = 0;
     for (int service = 0; service < check->model->service_count; service++) {
-        const struct sas_intention *row = get_active(check, service, from, to);
+        const struct sas_intention *row =
+            get_row_in_force(check, service, from, to);
         if (row != NULL) {
             double demand = get_demand(check, service, from).mbit_per_s;
-            double carried = get_carried(row, demand, SAS_CAP_MBIT);
-            sum += isnan(carried) ? 0 : carried;
+            double load = get_shift_load(row, demand, SAS_CAP_MBIT);
+            sum += isnan(load) ? 0 : load;
         }
     }
     return sum;
@@ -102,16 +105,19 @@
     const struct sas_model *model = check->model;
     int slots = check->slots[row->service * model->region_count + row->to];
     double link = SasModel_GetLinkCapacity(model, row->from, row->to);
-    bool replaced = get_active(check, row->service, row->from, row->to) != row;
+    bool replaced =
+        get_row_in_force(check, row->service, row->from, row->to) != row;
     if (row->share == 0 || replaced) {
         return 0;
     }
     if (slots == 0) {
-        return refuse(check, row, "to",
-                      "no backend server of the service is left there");
+        return refuse(
+            check, row, "to",
+            "the target region has no backend server of the service left");
     }
     if (row->cap_unit == SAS_CAP_CONCURRENT && row->cap > slots) {
-        return refuse(check, row, "cap", "above the target region's slots");
+        return refuse(check, row, "cap",
+                      "above the target region's execution slots");
     }
     if (row->cap_unit == SAS_CAP_MBIT && row->cap > link) {
         return refuse(check, row, "cap", "above the link's capacity");
@@ -119,24 +125,25 @@
     if (sum_concurrent(check, row->service, row->to) >
         slots * (1 - row->headroom)) {
         return refuse(check, row, "share",
-                      "the target region's slots would not carry it");
+                      "too few execution slots, less the headroom, in the "
+                      "target region");
     }
     if (sum_mbit(check, row->from, row->to) > link) {
         return refuse(check, row, "share",
-                      "the link would not carry all its shifts");
+                      "the link's capacity is too low for all shifts over it");
     }
     return 0;
 }
 
 static void
-take_intention(struct capacity_check *check, const struct sas_intention *row)
+apply_row(struct capacity_check *check, const struct sas_intention *row)
 {
     const struct sas_model *model = check->model;
     int regions = model->region_count;
     int target = row->drain_target;
     if (row->drain_kind == SAS_DRAIN_NONE) {
-        check->active[(row->service * regions + row->from) * regions +
-                      row->to] = row;
+        check->rows_in_force[(row->service * regions + row->from) * regions +
+                             row->to] = row;
     }
     else if (row->drain_kind == SAS_DRAIN_BACKEND && !check->drained[target]) {
         check->drained[target] = 1;
@@ -146,8 +153,8 @@
     }
 }
 
-/* A drain can overload the region it happens in, for its own callers and for
- * shifts that came before it; then the drain is the row to name. */
+/* A drain can overload its region, for the region's own callers or for shifts
+ * in earlier rows. The error then names the drain. */
 static int
 check_drain(const struct capacity_check *check,
             const struct sas_intention *row)
@@ -158,22 +165,23 @@
     int region = SasModel_GetBackendRegion(check->model, row->drain_target);
     if (sum_concurrent(check, service, region) >
         check->slots[service * regions + region]) {
-        return refuse(check, row, "drain",
-                      "the region's slots would not carry its callers");
+        return refuse(
+            check, row, "drain",
+            "leaves the region too few execution slots for its callers");
     }
     for (int cell = 0; cell < cells; cell++) {
-        const struct sas_intention *shift = check->active[cell];
+        const struct sas_intention *shift = check->rows_in_force[cell];
         if (shift != NULL && check_shift(check, shift) < 0) {
             return refuse(check, row, "drain",
-                          "a shift in force would not be carried");
+                          "leaves too little capacity for a shift in force");
         }
     }
     return 0;
 }
 
 static int
-check_instant(const struct capacity_check *check,
-              const struct sas_sheet *sheet, int first, int next)
+check_time(const struct capacity_check *check, const struct sas_sheet *sheet,
+           int first, int next)
 {
     for (int i = first; i < next; i++) {
         const struct sas_intention *row = &sheet->rows[i];
@@ -209,13 +217,13 @@
                       struct sas_sheet_error *place, struct sas_error *error)
 {
     size_t cells = (size_t)model->service_count * model->region_count;
-    g_autofree const struct sas_intention **active =
+    g_autofree const struct sas_intention **rows_in_force =
         g_new0(const struct sas_intention *, cells * model->region_count + 1);
     g_autofree int *slots = g_new0(int, cells + 1);
     g_autofree int *drained = g_new0(int, model->backend_count + 1);
     struct capacity_check check = {.model = model,
                                    .demand = demand,
-                                   .active = active,
+                                   .rows_in_force = rows_in_force,
                                    .slots = slots,
                                    .drained = drained,
                                    .place = place,
@@ -227,9 +235,9 @@
         for (next = first; next < sheet->row_count &&
                            sheet->rows[next].at_ms == sheet->rows[first].at_ms;
              next++) {
-            take_intention(&check, &sheet->rows[next]);
+            apply_row(&check, &sheet->rows[next]);
         }
-        if (check_instant(&check, sheet, first, next) < 0) {
+        if (check_time(&check, sheet, first, next) < 0) {
             return -1;
         }
     }
