--- a/packages/core/include/sas/steering.h
+++ b/packages/core/include/sas/steering.h
@@ -1,19 +1,18 @@
-/* steering - the operators' sheet on a living model: which region a request
- * goes to, within the caps of the shifts, and which servers and entry VMs are
- * leaving.
+/* steering - applies the operators' sheet in platform mode: which region a
+ * request goes to, within the caps of the shifts, and which servers and entry
+ * VMs are leaving.
  *
- * The sheet is resolved against a model made from the fleet (sas/snapshot.h);
- * sas/plan.h says which shares are in force. A share is a share of a service's
- * objects: those whose hash lies in it go to the other region with all their
- * requests, so that they stay warm there, and all entry VMs agree on them.
+ * The sheet is resolved against a model built from the fleet (sas/snapshot.h);
+ * sas/plan.h computes the shares in force. A share is a share of a service's
+ * objects, selected by hash: all requests for such an object go to the other
+ * region, so that its caches stay warm for them and all entry VMs agree.
  *
- * A cap is kept by all entry VMs of the home region together, each by an equal
- * part of it, the first ones one more where it can't be divided. What does not
- * fit under it stays at home. An entry VM does not know what the others leave
- * unused: with callers spread unevenly less than the cap is carried, never
- * more.
+ * A cap is divided evenly among the entry VMs of the home region; the first
+ * ones get one unit more when it does not divide evenly. A request above the
+ * cap stays at home. An entry VM does not know what the others leave unused,
+ * so unevenly spread callers use less than the cap, never more.
  *
- * Times are milliseconds; wall is since the epoch, now a monotonic clock.
+ * Times are milliseconds: wall_ms since the epoch, now_ms monotonic.
  */
 #ifndef SAS_STEERING_H
 #define SAS_STEERING_H
@@ -22,8 +21,8 @@
 #include "sas/plan.h"
 #include "sas/window.h"
 
-/* How long the bytes of a cap in Mbit/s and the requests of one in req/s are
- * counted: the caps are rates a second. */
+/* Window over which bytes and requests are counted for caps in Mbit/s and
+ * req/s. */
 #define SasSteering_WINDOW_MS 1000
 
 struct sas_steering;
@@ -31,22 +30,23 @@
 struct sas_steering *SasSteering_New(struct sas_fleet *fleet);
 void SasSteering_Free(struct sas_steering *steering);
 
-/* The model that sheets are resolved against; see sas/snapshot.h. */
+/* The model that sheets are resolved against; sas/snapshot.h updates it. */
 struct sas_model *SasSteering_GetModel(struct sas_steering *steering);
 
-/* A version that has been accepted; a reference to it is kept. */
+/* Makes an accepted version the current one and keeps a reference to it. */
 void SasSteering_TakeConfig(struct sas_steering *steering,
                             struct sas_config *config);
 
-/* Once a second or so. gone, by region: all its entry VMs are silent; NULL:
- * none. True when a share in force has changed. */
+/* To be called about once a second. down[region]: none of the region's entry
+ * VMs is live; NULL: no region is down. Returns true when a share in force has
+ * changed. */
 bool SasSteering_Advance(struct sas_steering *steering, int64_t wall_ms,
-                         int64_t now_ms, const bool *gone);
+                         int64_t now_ms, const bool *down);
 
-/* False as long as no sheet orders anything. */
+/* True when the current version has a shift; drains don't count. */
 bool SasSteering_IsActive(const struct sas_steering *steering);
 
-/* The entry VM is to leave the look-ups. */
+/* True when the sheet drains the entry VM: lookups must not return it. */
 bool SasSteering_IsVmLeaving(const struct sas_steering *steering,
                              const char *name);
 
@@ -54,20 +54,20 @@
 
 struct sas_steering_query {
     int service;
-    int home; /* region of the caller */
-    uint64_t key;
+    int home;      /* region of the caller */
+    uint64_t key;  /* hash of the object's key */
     double bytes;  /* of the request */
     int vms;       /* entry VMs of the home region that share the cap */
-    int rank;      /* of this one among them, from 0 */
-    bool newcomer; /* has no part of a cap yet; others still use it */
+    int rank;      /* index of this one among them, from 0 */
+    bool newcomer; /* joining: the others still use its part of the cap */
 };
 
-/* The region that the shares in force give to an object, whatever the caps
- * say; home where none does. */
+/* The region of an object by the shares in force, regardless of caps; home
+ * when it is in no shift's share. */
 int SasSteering_PickRegion(const struct sas_steering *steering, int service,
                            int home, uint64_t key);
 
-/* What a request has taken; zeroed: nothing. */
+/* A request counted under a shift's cap; zeroed when there is none. */
 struct sas_steering_grant {
     bool steered;
     int service;
@@ -75,8 +75,9 @@
     int to;
 };
 
-/* True where the request is to go to another region, grant->to; it has then
- * been counted under the cap, and ends with SasSteering_End. */
+/* Returns true when the request must go to another region, grant->to. It is
+ * then counted under the cap until SasSteering_End, whose bytes are those of
+ * the answer. */
 bool SasSteering_Take(struct sas_steering *steering,
                       const struct sas_steering_query *query, int64_t now_ms,
                       struct sas_steering_grant *grant);
@@ -84,7 +85,8 @@
                      struct sas_steering_grant *grant, double bytes,
                      int64_t now_ms);
 
-/* For operators. */
+/* For status output. Headroom is the free part of the execution slots, 0 to
+ * 1; 0 when the region has no open server. */
 const struct sas_plan *SasSteering_GetPlan(const struct sas_steering *s);
 double SasSteering_GetHeadroom(const struct sas_steering *steering,
                                int service, int region, int64_t now_ms);
--- a/packages/core/src/steering.c
+++ b/packages/core/src/steering.c
@@ -8,17 +8,17 @@
 #include "sas/snapshot.h"
 #include "sas/traffic.h"
 
-/* So that the objects of a share are no others' half: the choice of region
- * and server hash the same keys. */
+/* Region and server are chosen by hashes of the same keys. Another seed keeps
+ * the objects of a share independent of those choices. */
 #define SHARE_SEED 0x165667b19e3779f9ULL
 #define BITS_PER_MBIT 1e6
 
-/* What this entry VM has on its way by one shift. */
+/* This entry VM's use of one shift's cap. */
 struct usage {
     int service;
     int from;
     int to;
-    int running;
+    int running; /* requests */
     struct sas_window requests;
     struct sas_window bytes;
 };
@@ -26,9 +26,9 @@
 struct sas_steering {
     struct sas_fleet *fleet;
     struct sas_model model;
-    struct sas_config *config; /* that the plan was made from; NULL: none */
+    struct sas_config *config; /* source of the plan; NULL: none yet */
     struct sas_plan plan;
-    int plan_services; /* that the plan has room for */
+    int plan_services; /* number of services in the plan's tables */
     GArray *usages;    /* struct usage */
 };
 
@@ -58,7 +58,8 @@
     return &steering->model;
 }
 
-/* Anew also when services have come: the plan's tables have their number. */
+/* Also rebuilds the plan when services were added, because the size of its
+ * tables depends on their number. */
 static void
 build_plan(struct sas_steering *steering)
 {
@@ -87,61 +88,66 @@
     return &steering->plan;
 }
 
-/* What is known of the regions. */
+/* Capacity and headroom of regions. */
 
-struct room {
-    double slots;
-    double load;
+struct capacity {
+    double slots; /* execution slots */
+    double load;  /* requests, at most the slots of each server */
 };
 
-static struct room
-measure_room(const struct sas_steering *steering, int service, int region,
-             int64_t now_ms)
+static struct capacity
+measure_capacity(const struct sas_steering *steering, int service, int region,
+                 int64_t now_ms)
 {
-    struct room room = {0};
-    const GArray *slots =
+    struct capacity capacity = {0};
+    const GArray *fleet_slots =
         SasFleet_GetService(steering->fleet, service)->servers;
-    for (guint i = 0; i < slots->len; i++) {
-        int slot = g_array_index(slots, int, i);
+    for (guint i = 0; i < fleet_slots->len; i++) {
+        int fleet_slot = g_array_index(fleet_slots, int, i);
         const struct sas_fleet_server *server =
-            SasFleet_At(steering->fleet, slot);
-        if (SasFleet_GetServerRegion(steering->fleet, slot) != region ||
-            !SasFleet_IsOpen(steering->fleet, slot)) {
+            SasFleet_At(steering->fleet, fleet_slot);
+        if (SasFleet_GetServerRegion(steering->fleet, fleet_slot) != region ||
+            !SasFleet_IsOpen(steering->fleet, fleet_slot)) {
             continue;
         }
-        room.slots += server->facts.slots;
-        room.load +=
-            MIN(SasTraffic_EstimateLoad(steering->fleet, slot, now_ms),
+        capacity.slots += server->facts.slots;
+        capacity.load +=
+            MIN(SasTraffic_EstimateLoad(steering->fleet, fleet_slot, now_ms),
                 (double)server->facts.slots);
     }
-    return room;
+    return capacity;
 }
 
-/* The part of the slots that is free; 0 where there are none. */
+/* The free part of the execution slots; 0 when there are none. */
 static double
-get_headroom(const struct room *room)
+get_headroom(const struct capacity *capacity)
 {
-    return room->slots > 0 ? (room->slots - room->load) / room->slots : 0;
+    return capacity->slots > 0
+               ? (capacity->slots - capacity->load) / capacity->slots
+               : 0;
 }
 
 double
 SasSteering_GetHeadroom(const struct sas_steering *steering, int service,
                         int region, int64_t now_ms)
 {
-    struct room room = measure_room(steering, service, region, now_ms);
-    return get_headroom(&room);
+    struct capacity capacity =
+        measure_capacity(steering, service, region, now_ms);
+    return get_headroom(&capacity);
 }
 
-/* A region that nothing has been sent to yet has no report; that its servers
- * are announced as ready is then all there is, and it is as old as now. */
+/* The measurement counts as current (age 0) whenever the region has an open
+ * server. A region to which nothing was sent yet has no load report: then it
+ * is only known that its servers have announced themselves as ready. */
 static struct sas_plan_signal
 make_signal(const struct sas_steering *steering, int service, int region,
             int64_t now_ms)
 {
-    struct room room = measure_room(steering, service, region, now_ms);
+    struct capacity capacity =
+        measure_capacity(steering, service, region, now_ms);
     struct sas_plan_signal signal = {.headroom = NAN, .age_ms = INFINITY};
-    if (room.slots > 0) {
-        signal.headroom = get_headroom(&room);
+    if (capacity.slots > 0) {
+        signal.headroom = get_headroom(&capacity);
         signal.age_ms = 0;
     }
     return signal;
@@ -151,30 +157,31 @@
 withdraw_servers(struct sas_steering *steering)
 {
     const struct sas_plan *plan = &steering->plan;
-    int slots = SasFleet_CountSlots(steering->fleet);
-    g_autofree bool *withdrawn = g_new0(bool, slots + 1);
+    int fleet_slots = SasFleet_CountSlots(steering->fleet);
+    g_autofree bool *withdrawn = g_new0(bool, fleet_slots + 1);
     for (int i = 0; i < plan->drain_count; i++) {
         const struct sas_intention *row = &plan->drains[i];
         if (row->drain_kind != SAS_DRAIN_BACKEND ||
             !SasPlan_IsDraining(plan, row->drain_kind, row->drain_target)) {
             continue;
         }
-        int slot = SasFleet_FindServer(
+        int fleet_slot = SasFleet_FindServer(
             steering->fleet, steering->model.backends[row->drain_target].name);
-        if (slot != SasModel_NONE) {
-            withdrawn[slot] = true;
+        if (fleet_slot != SasModel_NONE) {
+            withdrawn[fleet_slot] = true;
         }
     }
-    for (int slot = 0; slot < slots; slot++) {
-        if (SasFleet_At(steering->fleet, slot) != NULL) {
-            SasFleet_SetWithdrawn(steering->fleet, slot, withdrawn[slot]);
+    for (int fleet_slot = 0; fleet_slot < fleet_slots; fleet_slot++) {
+        if (SasFleet_At(steering->fleet, fleet_slot) != NULL) {
+            SasFleet_SetWithdrawn(steering->fleet, fleet_slot,
+                                  withdrawn[fleet_slot]);
         }
     }
 }
 
 bool
 SasSteering_Advance(struct sas_steering *steering, int64_t wall_ms,
-                    int64_t now_ms, const bool *gone)
+                    int64_t now_ms, const bool *down)
 {
     if (steering->config == NULL) {
         return false;
@@ -189,7 +196,7 @@
     for (int i = 0; i < services * regions; i++) {
         table[i] = make_signal(steering, i / regions, i % regions, now_ms);
     }
-    struct sas_plan_signals signals = {.table = table, .gone = gone};
+    struct sas_plan_signals signals = {.table = table, .gone = down};
     bool changed = SasPlan_Advance(&steering->plan, wall_ms, now_ms, &signals);
     withdraw_servers(steering);
     return changed;
@@ -227,17 +234,17 @@
                           steering->usages->len - 1);
 }
 
-/* The part of a whole that this entry VM may use. */
+/* The part of a cap, in whole requests, that this entry VM may use. */
 static int
-get_part(double whole, const struct sas_steering_query *query)
+get_cap_part(double cap, const struct sas_steering_query *query)
 {
     int vms = MAX(query->vms, 1);
-    int units = (int)floor(whole);
+    int units = (int)floor(cap);
     return units / vms + (query->rank < units % vms ? 1 : 0);
 }
 
 static bool
-has_room(struct usage *usage, const struct sas_shift *shift,
+fits_cap(struct usage *usage, const struct sas_shift *shift,
          const struct sas_steering_query *query, int64_t now_ms)
 {
     if (query->newcomer && shift->cap_unit != SAS_CAP_NONE) {
@@ -246,9 +253,9 @@
     switch (shift->cap_unit) {
     case SAS_CAP_REQUESTS:
         return SasWindow_Count(&usage->requests, now_ms) + 1 <=
-               get_part(shift->cap, query);
+               get_cap_part(shift->cap, query);
     case SAS_CAP_CONCURRENT:
-        return usage->running + 1 <= get_part(shift->cap, query);
+        return usage->running + 1 <= get_cap_part(shift->cap, query);
     case SAS_CAP_MBIT:
         return (SasWindow_Count(&usage->bytes, now_ms) + query->bytes) * 8 <=
                shift->cap * BITS_PER_MBIT / MAX(query->vms, 1);
@@ -266,12 +273,14 @@
         service >= steering->plan_services) {
         return home;
     }
-    uint64_t words[2] = {key, (uint64_t)home};
-    uint64_t hash = XXH3_64bits_withSeed(words, sizeof(words), SHARE_SEED);
+    uint64_t input[2] = {key, (uint64_t)home};
+    uint64_t hash = XXH3_64bits_withSeed(input, sizeof(input), SHARE_SEED);
     double unit = ((double)(hash >> 11) + 0.5) / 9007199254740992.0;
     double weights[SasModel_MAX_REGIONS];
     SasPlan_GetWeights(&steering->plan, service, home, weights);
-    /* Home comes last: what a rising share adds has been home's. */
+    /* Each region has an interval of [0, 1); home has the rest at the end. So
+     * with one shift a rising share only takes objects from home. With several
+     * it also moves objects between the regions behind it in this order. */
     for (int region = 0; region < steering->model.region_count; region++) {
         if (region == home) {
             continue;
@@ -299,7 +308,7 @@
     }
     struct usage *usage =
         get_usage(steering, query->service, query->home, region);
-    if (!has_room(usage, shift, query, now_ms)) {
+    if (!fits_cap(usage, shift, query, now_ms)) {
         return false;
     }
     usage->running++;
