--- a/packages/core/tests/core_library.py
+++ b/packages/core/tests/core_library.py
@@ -10,12 +10,14 @@
 INT, BOOL, PTR, TEXT = (ctypes.c_int, ctypes.c_bool, ctypes.c_void_p,
                         ctypes.c_char_p)
 
-# The verdict repeats: no clock, no random seed, no example database.
+# Reproducible runs: examples depend only on the test's source; no deadline, no
+# example database.
 PROFILE = settings(derandomize=True, deadline=None, database=None)
 
 
 def load():
-    """The library; with sanitizers, restarts Python with theirs loaded."""
+    """Returns the library. With ASan, first restarts Python with ASan's
+    run-time preloaded."""
     if "address" in os.environ.get("SAS_SANITIZE", "") \
             and "LD_PRELOAD" not in os.environ:
         asan = subprocess.check_output(
@@ -27,7 +29,7 @@
 
 
 def declare(library, result, name, *arguments):
-    """The C function NAME with its types."""
+    """Returns the C function `name` with its types declared."""
     function = getattr(library, name)
     function.restype = result
     function.argtypes = arguments
--- a/packages/core/tests/property_config.py
+++ b/packages/core/tests/property_config.py
@@ -1,5 +1,5 @@
-"""Sheets and versions: shares never sum to over 100%, versions only rise, a
-delta makes the same version as the whole."""
+"""Properties of sheets and versions: shares never sum to above 100%, versions
+only rise, a delta produces the same version as the full configuration."""
 
 import ctypes
 import unittest
@@ -38,7 +38,8 @@
 
 
 def find_largest_sum(rows):
-    """The most that leaves any (service, from) at any time, in percent."""
+    """The largest sum of shares of any (service, from) at any time, in
+    percent."""
     largest = 0
     for time in range(5):
         shares = {}
@@ -52,7 +53,8 @@
     return largest
 
 
-def leaves_some(rows):
+def leaves_servers(rows):
+    """True when the drains leave a backend server of each service."""
     drained = {row[5].split(",")[6] for row in rows if row[1] is None}
     return not (drained >= set(BACKENDS[:5]) or drained >= set(BACKENDS[5:]))
 
@@ -61,11 +63,12 @@
 
     @sas.SETTINGS
     @given(rows_of_sheet)
-    def test_sums_over_100_and_only_those_are_refused(self, rows):
+    def test_refuses_only_excess_shares_and_last_servers(self, rows):
         config, error = make(rows)
         if config is None:
             self.assertIn(error.column, (b"share", b"drain"))
-        expected = find_largest_sum(rows) <= 100 + 1e-6 and leaves_some(rows)
+        expected = (find_largest_sum(rows) <= 100 + 1e-6
+                    and leaves_servers(rows))
         self.assertEqual(config is not None, expected, error.reason)
         sas.unref_config(config)
 
@@ -77,11 +80,11 @@
             return
         expected = sorted(range(len(rows)), key=lambda i: rows[i][0])
         self.assertEqual(sas.get_row_count(config), len(rows))
-        for place, i in enumerate(expected):
+        for index, i in enumerate(expected):
             at_ms = sas.c_i64()
             share = sas.c_double()
             numbers = (sas.c_int * 6)()
-            sas.get_row(config, place, at_ms, numbers, share)
+            sas.get_row(config, index, at_ms, numbers, share)
             self.assertEqual(at_ms.value, sas.NOW + rows[i][0] * 1000)
             self.assertEqual(numbers[5], i + 2)
             self.assertAlmostEqual(share.value, rows[i][4] / 100, 9)
@@ -89,9 +92,9 @@
 
     @sas.SETTINGS
     @given(st.lists(st.integers(-3, 50), max_size=30))
-    def test_adoption_only_rises(self, offers):
-        """Whatever order peers and the store offer versions in, a node ends
-        at the highest and never steps back."""
+    def test_only_higher_versions_are_adopted(self, offers):
+        """In whatever order versions arrive, a node ends with the highest and
+        never goes back to a lower one."""
         current = 0
         for offered in offers:
             if sas.may_replace(current, offered):
@@ -101,7 +104,7 @@
 
     @sas.SETTINGS
     @given(rows_of_sheet, rows_of_sheet, st.data())
-    def test_a_delta_makes_the_whole(self, old_rows, new_rows, data):
+    def test_delta_produces_the_full_version(self, old_rows, new_rows, data):
         """The new version shares some rows with the old one, in any order."""
         mixed = data.draw(st.permutations(old_rows + new_rows))
         keep = data.draw(st.integers(0, len(mixed)))
@@ -127,17 +130,17 @@
 
     @sas.SETTINGS
     @given(rows_of_sheet, st.data())
-    def test_a_damaged_version_is_refused_or_whole(self, rows, data):
-        """Any damage either is noticed or leaves a version that encodes and
-        decodes again: nothing half-read is ever adopted."""
+    def test_damaged_text_is_refused_or_consistent(self, rows, data):
+        """Damaged text is either refused or decodes to a complete version,
+        which survives another round trip."""
         config, _ = make(rows)
         if config is None:
             return
         text = bytearray(sas.take_text(sas.encode(config)))
         sas.unref_config(config)
         for _ in range(data.draw(st.integers(1, 4))):
-            place = data.draw(st.integers(0, len(text) - 1))
-            text[place] = data.draw(st.integers(0, 255))
+            index = data.draw(st.integers(0, len(text) - 1))
+            text[index] = data.draw(st.integers(0, 255))
         damaged = sas.decode(bytes(text), len(text))
         if damaged is None:
             return
--- a/packages/core/tests/property_lookup.py
+++ b/packages/core/tests/property_lookup.py
@@ -1,5 +1,6 @@
-"""Look-ups: all nodes agree whatever way they came, a change of weight moves
-only the blocks it must, shares are met."""
+"""Properties of lookups: all nodes agree whatever changes came before, a
+change of weight moves no more keys than necessary, shares match the
+weights."""
 
 import ctypes
 import math
@@ -39,7 +40,7 @@
 
     @sas.SETTINGS
     @given(st.lists(weights, min_size=2, max_size=4), st.integers(0, 1000))
-    def test_the_way_to_the_weights_does_not_matter(self, steps, seed):
+    def test_assignment_is_independent_of_history(self, steps, seed):
         count = min(len(values) for values in steps)
         steps = [values[:count] for values in steps]
         if any(max(values) == 0 for values in steps):
@@ -51,7 +52,8 @@
             targets = make_targets(values)
             before = list(owners)
             moved = sas.reassign(keys, KEYS, old, targets, count, owners)
-            # No assertEqual: its account of 3,000 items takes minutes.
+            # Not assertEqual: printing a difference of 3,000 items takes
+            # minutes.
             self.assertTrue(list(owners) == list(assign(keys, targets)))
             self.assertEqual(moved, sum(a != b for a, b
                                         in zip(before, owners)))
@@ -59,7 +61,8 @@
 
     @sas.SETTINGS
     @given(weights, st.integers(0, 1000), st.data())
-    def test_the_order_of_targets_does_not_matter(self, values, seed, data):
+    def test_assignment_is_independent_of_target_order(self, values, seed,
+                                                       data):
         order = data.draw(st.permutations(range(len(values))))
         keys = make_keys(seed)
         owners = assign(keys, make_targets(values))
@@ -68,8 +71,8 @@
 
     @sas.SETTINGS
     @given(weights, st.integers(0, 1000), st.data())
-    def test_one_change_moves_only_what_it_must(self, values, seed, data):
-        """A weight that rises only takes, one that falls only loses."""
+    def test_one_change_moves_no_more_than_necessary(self, values, seed, data):
+        """A raised weight only gains keys, a lowered one only loses keys."""
         target = data.draw(st.integers(0, len(values) - 1))
         changed = list(values)
         changed[target] = data.draw(weight)
@@ -85,7 +88,7 @@
 
     @sas.SETTINGS
     @given(weights, st.integers(0, 1000))
-    def test_shares_are_met(self, values, seed):
+    def test_shares_match_weights(self, values, seed):
         owners = list(assign(make_keys(seed), make_targets(values)))
         for target, value in enumerate(values):
             share = value / sum(values)
--- a/packages/core/tests/property_plan.py
+++ b/packages/core/tests/property_plan.py
@@ -1,7 +1,7 @@
-"""Plans: whatever the clocks do and whatever signals come or stay away, a
-share in force is never above the ordered one nor above the schedule, rises
-no faster than its ramp and only towards a region that is known to have
-room; good signals lead it to the ordered share in the end."""
+"""Properties of plans: with any clock jumps and any signals, a share in force
+never exceeds the ordered or the scheduled share and rises no faster than its
+ramp, and only towards a region with known headroom. With good signals it
+reaches the ordered share."""
 
 import ctypes
 import math
@@ -43,14 +43,14 @@
 
 
 class Plan:
-    """A plan and the clocks that it is given."""
+    """A plan and its clocks."""
 
     def __init__(self, wall, monotonic=0):
         self.plan = sas.make_plan()
         self.wall = wall
         self.monotonic = monotonic
         self.highest_wall = wall
-        self.latest = wall  # the schedule's clock is never later
+        self.latest = wall  # upper bound of the schedule clock
         self.number = 0
 
     def close(self):
@@ -61,7 +61,7 @@
         return sas.build_plan(self.plan, self.number,
                               write_rows(rows).encode(), now)
 
-    def advance(self, elapsed, jump, signals, gone):
+    def advance(self, elapsed, jump, signals, down):
         self.monotonic += elapsed
         self.wall += elapsed + jump
         self.highest_wall = max(self.highest_wall, self.wall)
@@ -69,7 +69,7 @@
         sas.advance(self.plan, self.wall, self.monotonic,
                     (sas.c_double * 6)(*[s[0] for s in signals]),
                     (sas.c_double * 6)(*[s[1] for s in signals]),
-                    (ctypes.c_uint8 * 3)(*gone))
+                    (ctypes.c_uint8 * 3)(*down))
 
     def get(self, shift):
         ordered = sas.c_double()
@@ -85,13 +85,13 @@
 
 class PlanProperties(unittest.TestCase):
 
-    def check_step(self, plan, before, elapsed, signals, gone):
+    def check_step(self, plan, before, elapsed, signals, down):
         for shift in SHIFTS:
             ordered, in_force, _ = plan.get(shift)
             headroom, age = signals[shift[0] * 3 + shift[2]]
             self.assertLessEqual(in_force, ordered + EPSILON)
             self.assertGreaterEqual(in_force, 0)
-            if gone[shift[2]]:
+            if down[shift[2]]:
                 self.assertEqual(in_force, 0)
             if not (age <= OLD_MS and headroom >= MIN_HEADROOM):
                 self.assertLessEqual(in_force, before[shift])
@@ -104,74 +104,73 @@
     @settings(sas.SETTINGS, max_examples=600)
     @given(st.lists(row, max_size=6), st.lists(row, max_size=6),
            st.lists(step, max_size=30), st.integers(0, 29))
-    def test_never_above_what_is_ordered_or_known(self, rows, others, steps,
-                                                  change_at):
+    def test_never_above_ordered_or_without_headroom(self, rows, others,
+                                                     steps, change_at):
         plan = Plan(sas.NOW)
         if plan.build(rows) == 0:
-            for i, (elapsed, jump, signals, gone) in enumerate(steps):
+            for i, (elapsed, jump, signals, down) in enumerate(steps):
                 if i == change_at:
                     plan.build(others)
                 before = {shift: plan.get(shift)[1] for shift in SHIFTS}
-                plan.advance(elapsed, jump, signals, gone)
-                self.check_step(plan, before, elapsed, signals, gone)
+                plan.advance(elapsed, jump, signals, down)
+                self.check_step(plan, before, elapsed, signals, down)
         plan.close()
 
     @settings(sas.SETTINGS, max_examples=600)
     @given(st.lists(row.filter(lambda row: row[3] > 0), max_size=6),
            st.lists(step, max_size=30), st.integers(0, 29))
     def test_never_faster_than_the_ramp(self, rows, steps, change_at):
-        """Also when the same rows come again as a new version, and when one
-        call stands for a long pause."""
+        """Also when a new version repeats the rows, and after a long pause
+        between two calls."""
         plan = Plan(sas.NOW)
         if plan.build(rows) == 0:
-            for i, (elapsed, jump, signals, gone) in enumerate(steps):
+            for i, (elapsed, jump, signals, down) in enumerate(steps):
                 if i == change_at:
                     plan.build(rows)
                 before = {shift: plan.get(shift)[1] for shift in SHIFTS}
-                plan.advance(elapsed, jump, signals, gone)
+                plan.advance(elapsed, jump, signals, down)
                 for shift in SHIFTS:
                     rate = max([r[2] / 100 / (r[3] * 1000) for r in rows
                                 if r[0] == shift] + [0])
-                    most = rate * min(elapsed, MAX_STEP_MS)
+                    limit = rate * min(elapsed, MAX_STEP_MS)
                     rise = plan.get(shift)[1] - before[shift]
-                    self.assertLessEqual(rise, most + EPSILON)
+                    self.assertLessEqual(rise, limit + EPSILON)
         plan.close()
 
     @settings(sas.SETTINGS, max_examples=600)
     @given(st.integers(0, 100), st.sampled_from([30, 100, 300]),
            st.integers(-10, 400), st.lists(step, max_size=30), st.booleans(),
            st.floats(0, 1))
-    def test_never_above_the_schedule(self, at, ramp, start, steps, seeded,
-                                      seed):
-        """A node may start at any point of a ramp, before or after it, and be
-        told anything by its peers."""
+    def test_never_above_the_scheduled_share(self, at, ramp, start, steps,
+                                             seeded, seed):
+        """A node may start before, during or after a ramp and receive any
+        share from its peers."""
         shift = SHIFTS[0]
         plan = Plan(sas.NOW + start * 1000, 777)
         plan.build([(shift, at, 50, ramp, 0, 0)])
-        for elapsed, jump, signals, gone in [(0, 0, [good] * 6,
+        for elapsed, jump, signals, down in [(0, 0, [good] * 6,
                                               (0, 0, 0))] + steps:
-            plan.advance(elapsed, jump, signals, gone)
+            plan.advance(elapsed, jump, signals, down)
             if seeded:
                 sas.seed_plan(plan.plan, *shift, seed)
             passed = (plan.latest - sas.NOW) / 1000 - at
-            most = 0.5 * min(1, max(0, passed / ramp))
-            self.assertLessEqual(plan.get(shift)[1], most + EPSILON)
+            limit = 0.5 * min(1, max(0, passed / ramp))
+            self.assertLessEqual(plan.get(shift)[1], limit + EPSILON)
         plan.close()
 
     @settings(sas.SETTINGS, max_examples=600)
     @given(st.lists(st.integers(5, 50), min_size=1, max_size=4),
            st.lists(step, max_size=30), st.integers(0, 29))
-    def test_no_clock_undoes_a_ramp(self, shares, steps, change_at):
-        """Rows that only rise: as long as no region is gone, nothing falls,
-        and a drain that began goes on; not when a new version repeats the
-        rows either."""
+    def test_clock_jumps_undo_no_ramp(self, shares, steps, change_at):
+        """With rows that only rise and no region down, no share falls and no
+        drain ends, also when a new version repeats the rows."""
         shift = SHIFTS[0]
         rows = [(shift, i * 50, share, 30, 0, 0)
                 for i, share in enumerate(sorted(shares))]
         plan = Plan(sas.NOW)
         text = write_rows(rows) + "+40,,,,,,dossiers-01,\n"
         sas.build_plan(plan.plan, 1, text.encode(), sas.NOW)
-        level = 0
+        share = 0
         ordered = 0
         ahead = False
         draining = False
@@ -183,10 +182,10 @@
             if draining and not ahead:
                 self.assertTrue(sas.is_draining(plan.plan, 1, 0))
             draining = sas.is_draining(plan.plan, 1, 0)
-            now_ordered, now_level, _ = plan.get(shift)
-            self.assertGreaterEqual(now_level, level)
+            now_ordered, now_share, _ = plan.get(shift)
+            self.assertGreaterEqual(now_share, share)
             self.assertGreaterEqual(now_ordered, ordered)
-            level, ordered = now_level, now_ordered
+            share, ordered = now_share, now_ordered
             if plan.wall >= sas.NOW + 40000:
                 self.assertTrue(sas.is_draining(plan.plan, 1, 0))
         plan.close()
@@ -194,12 +193,12 @@
     @sas.SETTINGS
     @given(st.lists(row, max_size=6), st.lists(step, max_size=10))
     def test_good_signals_lead_to_the_ordered_share(self, rows, steps):
-        """Whatever happened before, 30 quiet minutes with good signals once
-        the wall clock is right again bring the last row of each shift."""
+        """Whatever happened before, 30 minutes with good signals and a correct
+        wall clock lead each shift to its last row."""
         plan = Plan(sas.NOW)
         if plan.build(rows) == 0:
-            for elapsed, jump, signals, gone in steps:
-                plan.advance(elapsed, jump, signals, gone)
+            for elapsed, jump, signals, down in steps:
+                plan.advance(elapsed, jump, signals, down)
             plan.wall = plan.highest_wall
             for _ in range(1800):
                 plan.advance(1000, 0, [good] * 6, (0, 0, 0))
--- a/packages/core/tests/property_shim.c
+++ b/packages/core/tests/property_shim.c
@@ -1,6 +1,6 @@
-/* Flat functions for the property tests, which call them through ctypes: no
- * struct of the core crosses, only numbers, texts and opaque pointers. The
- * deployment is that of steering_fixture.h.
+/* C functions that the property tests call through ctypes. They take only
+ * numbers, texts and opaque pointers, no structs of the core. The model is
+ * that of steering_fixture.h.
  */
 #include <glib.h>
 #include <stdlib.h>
@@ -32,7 +32,7 @@
                       int64_t now_ms);
 void SasShim_Advance(struct sas_plan *plan, int64_t wall_ms,
                      int64_t monotonic_ms, const double *headroom,
-                     const double *age_ms, const uint8_t *gone);
+                     const double *age_ms, const uint8_t *down);
 int SasShim_GetShift(const struct sas_plan *plan, int service, int from,
                      int to, double *ordered, double *in_force);
 
@@ -57,7 +57,7 @@
     return config->sheet.row_count;
 }
 
-/* numbers: service, from, to, kind and target of a drain, row. */
+/* Fills in numbers: service, from, to, drain kind, drain target, row. */
 void
 SasShim_GetRow(const struct sas_config *config, int row, int64_t *at_ms,
                int *numbers, double *share)
@@ -132,21 +132,21 @@
 void
 SasShim_Advance(struct sas_plan *plan, int64_t wall_ms, int64_t monotonic_ms,
                 const double *headroom, const double *age_ms,
-                const uint8_t *gone)
+                const uint8_t *down)
 {
     struct sas_plan_signal table[6];
-    bool is_gone[3];
-    struct sas_plan_signals signals = {table, is_gone};
+    bool is_down[3];
+    struct sas_plan_signals signals = {table, is_down};
     for (int i = 0; i < 6; i++) {
         table[i] = (struct sas_plan_signal){headroom[i], age_ms[i]};
     }
     for (int i = 0; i < 3; i++) {
-        is_gone[i] = gone[i] != 0;
+        is_down[i] = down[i] != 0;
     }
     SasPlan_Advance(plan, wall_ms, monotonic_ms, &signals);
 }
 
-/* Returns the reason for a hold, -1 when there is no such shift. */
+/* Returns the enum sas_hold of the shift, -1 when there is no such shift. */
 int
 SasShim_GetShift(const struct sas_plan *plan, int service, int from, int to,
                  double *ordered, double *in_force)
@@ -157,7 +157,7 @@
     return shift != NULL ? (int)shift->holding : -1;
 }
 
-/* The living model, with plain arguments. */
+/* The fleet. */
 
 int
 SasShim_PutServer(struct sas_fleet *fleet, const char *id, const char *service,
@@ -176,7 +176,8 @@
     return SasFleet_PutServer(fleet, &facts);
 }
 
-/* numbers: service, the caller's zone, near, ordered, to region. */
+/* Calls SasOwner_Rank. numbers: service, the caller's zone, prefer zone,
+ * steered, steered region. */
 int
 SasShim_Rank(const struct sas_fleet *fleet, const int *numbers, double keep,
              uint64_t key, uint64_t homes, int *slots)
@@ -200,7 +201,7 @@
     return SasFleet_GetRef(fleet, slot).generation;
 }
 
-/* The id behind a reference, "" where it leads nowhere. */
+/* Returns the id of the referenced server, "" when the reference is stale. */
 const char *
 SasShim_GetId(const struct sas_fleet *fleet, int slot, uint32_t generation)
 {
@@ -209,7 +210,8 @@
     return server != NULL ? server->facts.id : "";
 }
 
-/* How many servers a service lists, and whether each of them is of it. */
+/* Returns the number of servers that a service lists, -1 when one of them does
+ * not exist or belongs to another service. */
 int
 SasShim_CountListed(const struct sas_fleet *fleet, const char *service)
 {
--- a/packages/core/tests/steering_fixture.h
+++ b/packages/core/tests/steering_fixture.h
@@ -1,5 +1,5 @@
-/* A deployment of three regions for the tests of sheet, config, plan, lookup
- * and measure.
+/* Model of a deployment with three regions, for the tests of sheet, config,
+ * plan, lookup and measure.
  */
 #ifndef SAS_STEERING_FIXTURE_H
 #define SAS_STEERING_FIXTURE_H
--- a/packages/core/tests/steering_support.py
+++ b/packages/core/tests/steering_support.py
@@ -1,4 +1,5 @@
-"""Loads the core's shared library for the property tests of steering."""
+"""Loads the core's shared library for the property tests of config, plan and
+lookup, and declares its functions."""
 
 import ctypes
 import os
@@ -12,7 +13,8 @@
 
 
 def restart_under_sanitizer():
-    """A library built with ASan needs its run-time loaded before Python's."""
+    """Restarts Python with ASan's run-time preloaded, which a library built
+    with ASan needs."""
     if "address" not in os.environ.get("SAS_SANITIZE", ""):
         return
     if "LD_PRELOAD" in os.environ:
@@ -88,7 +90,7 @@
 
 
 def take_text(pointer):
-    """The bytes at the pointer, which is freed."""
+    """Returns the bytes at the pointer and frees it."""
     text = ctypes.string_at(pointer)
     free_text(pointer)
     return text
--- a/packages/core/tests/test_config.c
+++ b/packages/core/tests/test_config.c
@@ -40,7 +40,7 @@
     "+90,,,,,,mtl-a-1,\n";
 
 static void
-test_a_version_survives_its_encoding(void **state)
+test_encoding_round_trip(void **state)
 {
     (void)state;
     struct sas_config *config = make_config(8, three_rows);
@@ -59,8 +59,9 @@
     free(text);
 }
 
-/* Each pair replaces the first text by the second in a good version. */
-static const char *const nonsense[][2] = {
+/* Each pair replaces the first text by the second in a valid version, which
+ * makes it invalid. */
+static const char *const invalid_replacements[][2] = {
     {"\"version\":8", "\"version\":0"},
     {"\"version\":8", "\"version\":8.5"},
     {"\"version\":8", "\"version\":9223372036854775807"},
@@ -85,15 +86,15 @@
 };
 
 static void
-test_nonsense_is_refused(void **state)
+test_invalid_versions_are_refused(void **state)
 {
     (void)state;
     struct sas_config *config = make_config(8, three_rows);
     char *good = SasConfig_Encode(config, &fixture);
-    for (size_t i = 0; i < G_N_ELEMENTS(nonsense); i++) {
-        g_auto(GStrv) parts = g_strsplit(good, nonsense[i][0], 2);
+    for (size_t i = 0; i < G_N_ELEMENTS(invalid_replacements); i++) {
+        g_auto(GStrv) parts = g_strsplit(good, invalid_replacements[i][0], 2);
         assert_non_null(parts[1]);
-        g_autofree char *bad = g_strjoinv(nonsense[i][1], parts);
+        g_autofree char *bad = g_strjoinv(invalid_replacements[i][1], parts);
         struct sas_error error = {0};
         assert_null(SasConfig_Decode(&fixture, bad, strlen(bad), &error));
         assert_int_equal(error.code, SAS_EINVAL);
@@ -105,8 +106,8 @@
     SasConfig_Unref(config);
 }
 
-/* Two operators' versions reach a node in the wrong order, then the store
- * serves an old row: the node would fall back to the older one. */
+/* Guards against falling back to an older version when versions arrive in the
+ * wrong order or the store serves an old row. */
 static void
 test_only_higher_versions_are_adopted(void **state)
 {
@@ -118,7 +119,7 @@
 }
 
 static void
-test_a_delta_makes_the_next_version(void **state)
+test_delta_rebuilds_the_next_version(void **state)
 {
     (void)state;
     struct sas_config *base = make_config(8, three_rows);
@@ -127,20 +128,21 @@
     struct sas_config *next = make_config(9, rows);
     char *delta = SasConfig_EncodeDelta(base, next, &fixture);
     struct sas_error error = {0};
-    struct sas_config *made =
+    struct sas_config *rebuilt =
         SasConfig_ApplyDelta(base, &fixture, delta, strlen(delta), &error);
-    assert_non_null(made);
-    assert_same(made, next);
-    SasConfig_Unref(made);
+    assert_non_null(rebuilt);
+    assert_same(rebuilt, next);
+    SasConfig_Unref(rebuilt);
     SasConfig_Unref(next);
     SasConfig_Unref(base);
     free(delta);
 }
 
-/* A node that missed version 8 gets the delta from 8 to 9 and puts it onto 7:
- * it would then run a ninth version that nobody ordered. */
+/* Guards against a version 9 that no operator ordered, from a delta that is
+ * applied to another base than its own. Malformed edits must be refused as
+ * well. */
 static void
-test_a_delta_on_a_wrong_base_is_refused(void **state)
+test_delta_on_another_base_is_refused(void **state)
 {
     (void)state;
     struct sas_config *base = make_config(8, three_rows);
@@ -154,12 +156,12 @@
     assert_int_equal(error.code, SAS_ECONFLICT);
     g_auto(GStrv) parts = g_strsplit(delta, "\"rows\":[[0,3]]", 2);
     assert_non_null(parts[1]);
-    const char *const steps[] = {
+    const char *const edits[] = {
         "\"rows\":[[0,2]]",  "\"rows\":[[0,4]]",
         "\"rows\":[[-1,1]]", "\"rows\":[[0]]",
         "\"rows\":7",        "\"rows\":[[0,9223372036854775807]]"};
-    for (size_t i = 0; i < G_N_ELEMENTS(steps); i++) {
-        g_autofree char *bad = g_strjoinv(steps[i], parts);
+    for (size_t i = 0; i < G_N_ELEMENTS(edits); i++) {
+        g_autofree char *bad = g_strjoinv(edits[i], parts);
         assert_null(
             SasConfig_ApplyDelta(base, &fixture, bad, strlen(bad), &error));
         assert_int_equal(error.code, SAS_EINVAL);
@@ -171,7 +173,7 @@
 }
 
 static void
-test_a_drain_is_added_and_resolved_times_stay(void **state)
+test_added_drain_keeps_resolved_times(void **state)
 {
     (void)state;
     struct sas_config *base = make_config(8, three_rows);
@@ -202,12 +204,12 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_a_version_survives_its_encoding),
-        cmocka_unit_test(test_nonsense_is_refused),
+        cmocka_unit_test(test_encoding_round_trip),
+        cmocka_unit_test(test_invalid_versions_are_refused),
         cmocka_unit_test(test_only_higher_versions_are_adopted),
-        cmocka_unit_test(test_a_delta_makes_the_next_version),
-        cmocka_unit_test(test_a_delta_on_a_wrong_base_is_refused),
-        cmocka_unit_test(test_a_drain_is_added_and_resolved_times_stay),
+        cmocka_unit_test(test_delta_rebuilds_the_next_version),
+        cmocka_unit_test(test_delta_on_another_base_is_refused),
+        cmocka_unit_test(test_added_drain_keeps_resolved_times),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/core/tests/test_lookup.c
+++ b/packages/core/tests/test_lookup.c
@@ -37,7 +37,7 @@
 }
 
 static void
-test_the_longest_prefix_names_the_home(void **state)
+test_longest_prefix_determines_home(void **state)
 {
     (void)state;
     struct sas_lookup lookup;
@@ -56,7 +56,7 @@
 }
 
 static void
-test_callers_go_where_the_plan_sends_them(void **state)
+test_lookup_follows_the_plan(void **state)
 {
     (void)state;
     struct sas_lookup lookup;
@@ -71,23 +71,24 @@
     assert_int_equal(SasLookup_Find(&lookup, DOSSIERS, INSIDE), QUEBEC);
     assert_int_equal(SasLookup_Find(&lookup, GALERIE, INSIDE), SAGUENAY);
     assert_int_equal(SasLookup_Find(&lookup, DOSSIERS, NEXT_TO), QUEBEC);
-    int away = 0;
+    int shifted = 0;
     for (uint32_t i = 0; i < 1000; i++) {
         uint32_t ipv4 = OUTSIDE + i * 256;
         int region = SasLookup_Find(&lookup, DOSSIERS, ipv4);
         assert_int_equal(SasLookup_Find(&lookup, DOSSIERS, ipv4 ^ 0xff),
                          region);
-        away += region == QUEBEC;
+        shifted += region == QUEBEC;
     }
-    assert_true(abs(away - 500) < SHARE_BOUND * sqrt(1000 * 0.25));
+    assert_true(abs(shifted - 500) < SHARE_BOUND * sqrt(1000 * 0.25));
     SasPlan_Free(&plan);
     SasLookup_Close(&lookup);
 }
 
-/* A node that ran through three versions must answer as one that was started
- * on the last of them, or callers bounce between regions. */
+/* A node that has applied three versions in turn must give the same answers as
+ * one that started with the last. Otherwise callers would bounce between
+ * regions. */
 static void
-test_the_way_to_a_version_does_not_matter(void **state)
+test_assignment_is_independent_of_history(void **state)
 {
     (void)state;
     g_autofree struct sas_block *blocks =
@@ -166,10 +167,11 @@
     }
 }
 
-/* The platform's list comes back empty, or a node hears no peer any more, or
- * both: a caller that gets no VM at all can't reach anything. */
+/* Guards against an answer without a VM, with which a caller can reach
+ * nothing, when the platform's list is empty, the node is partitioned, or
+ * both. */
 static void
-test_no_source_empties_the_answer(void **state)
+test_answer_is_never_empty(void **state)
 {
     (void)state;
     struct sas_vm_view views[6];
@@ -190,7 +192,7 @@
 }
 
 static void
-test_lifetimes_are_short_during_a_shift(void **state)
+test_ttl_is_short_during_a_shift(void **state)
 {
     (void)state;
     struct sas_plan plan = {0};
@@ -207,12 +209,12 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_the_longest_prefix_names_the_home),
-        cmocka_unit_test(test_callers_go_where_the_plan_sends_them),
-        cmocka_unit_test(test_the_way_to_a_version_does_not_matter),
+        cmocka_unit_test(test_longest_prefix_determines_home),
+        cmocka_unit_test(test_lookup_follows_the_plan),
+        cmocka_unit_test(test_assignment_is_independent_of_history),
         cmocka_unit_test(test_vms_of_the_region_come_first),
-        cmocka_unit_test(test_no_source_empties_the_answer),
-        cmocka_unit_test(test_lifetimes_are_short_during_a_shift),
+        cmocka_unit_test(test_answer_is_never_empty),
+        cmocka_unit_test(test_ttl_is_short_during_a_shift),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/core/tests/test_place.c
+++ b/packages/core/tests/test_place.c
@@ -74,7 +74,7 @@
 }
 
 static void
-test_no_policy_picks_a_server_without_room(void **state)
+test_no_policy_picks_a_server_without_free_capacity(void **state)
 {
     struct fixture *fixture = *state;
     for (int p = 0; SasPlace_GetName(p) != NULL; p++) {
@@ -109,22 +109,22 @@
 }
 
 static void
-test_round_robin_skips_what_is_not_usable(void **state)
+test_round_robin_skips_unusable_servers(void **state)
 {
     struct fixture *fixture = *state;
     struct sas_place_policy *policy = SasPlace_Create("round-robin");
     fixture->servers[1].usable = false;
-    const int wanted[] = {0, 2, 3, 0};
+    const int expected[] = {0, 2, 3, 0};
     for (int i = 0; i < 4; i++) {
         assert_int_equal(
             policy->pick(policy, fixture->servers, SERVERS, fixture->random),
-            wanted[i]);
+            expected[i]);
     }
     SasPlace_Free(policy);
 }
 
 static void
-test_old_reports_fade_into_the_mean(void **state)
+test_old_reports_decay_to_the_mean(void **state)
 {
     struct fixture *fixture = *state;
     double loads[SERVERS];
@@ -143,7 +143,7 @@
 }
 
 static void
-test_reported_load_steers_away(void **state)
+test_loaded_servers_are_avoided(void **state)
 {
     struct fixture *fixture = *state;
     for (int i = 0; i < SERVERS; i++) {
@@ -156,7 +156,7 @@
 }
 
 static void
-test_cold_server_is_taken_later(void **state)
+test_cold_servers_are_avoided(void **state)
 {
     struct fixture *fixture = *state;
     for (int i = 0; i < SERVERS; i++) {
@@ -172,7 +172,7 @@
 }
 
 static void
-test_owned_never_exceeds_its_share(void **state)
+test_owned_never_exceeds_owned_slots(void **state)
 {
     struct fixture *fixture = *state;
     for (int i = 0; i < SERVERS; i++) {
@@ -188,7 +188,7 @@
 }
 
 static void
-test_owned_takes_a_near_free_slot_first(void **state)
+test_owned_prefers_a_local_free_slot(void **state)
 {
     struct fixture *fixture = *state;
     for (int i = 0; i < SERVERS; i++) {
@@ -200,7 +200,7 @@
 }
 
 static void
-test_owned_first_borrows_only_what_looks_idle(void **state)
+test_owned_first_borrows_only_idle_slots(void **state)
 {
     struct fixture *fixture = *state;
     for (int i = 0; i < SERVERS; i++) {
@@ -217,7 +217,7 @@
 }
 
 static void
-test_cone_stays_near_until_the_imbalance_leaves_it(void **state)
+test_cone_stays_local_until_the_imbalance_is_outside(void **state)
 {
     struct fixture *fixture = *state;
     int picks[SERVERS];
@@ -238,16 +238,16 @@
 #define TEST(name) cmocka_unit_test_setup_teardown(name, set_up, tear_down)
     const struct CMUnitTest tests[] = {
         TEST(test_unknown_name_is_refused),
-        TEST(test_no_policy_picks_a_server_without_room),
+        TEST(test_no_policy_picks_a_server_without_free_capacity),
         TEST(test_equal_servers_are_picked_evenly),
-        TEST(test_round_robin_skips_what_is_not_usable),
-        TEST(test_old_reports_fade_into_the_mean),
-        TEST(test_reported_load_steers_away),
-        TEST(test_cold_server_is_taken_later),
-        TEST(test_owned_never_exceeds_its_share),
-        TEST(test_owned_takes_a_near_free_slot_first),
-        TEST(test_owned_first_borrows_only_what_looks_idle),
-        TEST(test_cone_stays_near_until_the_imbalance_leaves_it),
+        TEST(test_round_robin_skips_unusable_servers),
+        TEST(test_old_reports_decay_to_the_mean),
+        TEST(test_loaded_servers_are_avoided),
+        TEST(test_cold_servers_are_avoided),
+        TEST(test_owned_never_exceeds_owned_slots),
+        TEST(test_owned_prefers_a_local_free_slot),
+        TEST(test_owned_first_borrows_only_idle_slots),
+        TEST(test_cone_stays_local_until_the_imbalance_is_outside),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/core/tests/test_plan.c
+++ b/packages/core/tests/test_plan.c
@@ -16,8 +16,8 @@
 #define RAMP_ROW "+0,dossiers,montreal,quebec,60%,,,ramp=300\n"
 
 static struct sas_plan_signal table[6];
-static bool gone[3];
-static const struct sas_plan_signals signals = {table, gone};
+static bool down[3];
+static const struct sas_plan_signals signals = {table, down};
 
 static int
 set_up(void **state)
@@ -26,7 +26,7 @@
     for (int i = 0; i < 6; i++) {
         table[i] = (struct sas_plan_signal){0.5, 500};
     }
-    memset(gone, 0, sizeof(gone));
+    memset(down, 0, sizeof(down));
     return 0;
 }
 
@@ -50,7 +50,8 @@
     SasConfig_Unref(config);
 }
 
-/* Seconds of ticks with both clocks in step from (wall, monotonic). */
+/* Advances the plan once a second for `seconds`, both clocks in step, from
+ * (wall_ms, monotonic_ms) on. */
 static void
 run(struct sas_plan *plan, int64_t wall_ms, int64_t monotonic_ms, int seconds)
 {
@@ -73,13 +74,13 @@
 }
 
 static void
-assert_near(double have, double wanted)
+assert_near(double actual, double expected)
 {
-    assert_true(fabs(have - wanted) < 1e-9);
+    assert_true(fabs(actual - expected) < 1e-9);
 }
 
 static void
-test_a_ramp_rises_evenly(void **state)
+test_ramp_rises_linearly(void **state)
 {
     (void)state;
     struct sas_plan plan = {0};
@@ -94,10 +95,10 @@
     SasPlan_Free(&plan);
 }
 
-/* A VM's clock is set an hour ahead while a ramp begins. By the wall clock the
- * ramp is over at once, and the whole shift lands on cold caches. */
+/* Guards against a full shift to cold caches when the wall clock jumps an hour
+ * ahead during a ramp: by the wall clock the ramp is then complete. */
 static void
-test_a_clock_that_jumps_ahead_skips_no_ramp(void **state)
+test_forward_clock_jump_skips_no_ramp(void **state)
 {
     (void)state;
     struct sas_plan plan = {0};
@@ -108,10 +109,10 @@
     SasPlan_Free(&plan);
 }
 
-/* A clock is an hour ahead for ten seconds and then set right: a row of the
- * afternoon, without a ramp, would take its callers away at noon. */
+/* Guards against starting a later row, without a ramp, too early when the wall
+ * clock is an hour ahead for ten seconds. */
 static void
-test_a_short_jump_ahead_starts_no_later_row(void **state)
+test_short_forward_jump_starts_no_later_row(void **state)
 {
     (void)state;
     struct sas_plan plan = {0};
@@ -124,10 +125,10 @@
     SasPlan_Free(&plan);
 }
 
-/* The clock is set back an hour after the ramp: by the wall clock the row is
- * not in force yet, and all its callers would go home at once. */
+/* Guards against sending all shifted callers home at once when the wall clock
+ * is set back an hour: by the wall clock the row is then not in force yet. */
 static void
-test_a_clock_that_jumps_back_undoes_no_ramp(void **state)
+test_backward_clock_jump_undoes_no_ramp(void **state)
 {
     (void)state;
     struct sas_plan plan = {0};
@@ -139,10 +140,10 @@
     SasPlan_Free(&plan);
 }
 
-/* An entry VM is replaced in the middle of a ramp which its peers hold at
- * 10%. By the wall clock it would begin at 30%, against the hold. */
+/* An entry VM is replaced during a ramp that its peers hold at 10%. It must
+ * not start at the 30% that the schedule allows by then. */
 static void
-test_a_fresh_node_does_not_jump(void **state)
+test_new_node_starts_at_the_seeded_share(void **state)
 {
     (void)state;
     struct sas_plan plan = {0};
@@ -159,11 +160,11 @@
     SasPlan_Free(&plan);
 }
 
-/* The store is down when an entry VM starts, so it has no version for ten
- * minutes. When one comes it is as fresh as it was, and must still take over
- * what its peers have in force. */
+/* The store is down when an entry VM starts, so its first version arrives ten
+ * minutes later. It must then still accept the shares that its peers have in
+ * force. */
 static void
-test_a_late_first_version_is_seeded_too(void **state)
+test_late_first_version_can_be_seeded(void **state)
 {
     (void)state;
     static const struct sas_config nothing = {.sheet_text = ""};
@@ -183,9 +184,9 @@
     SasPlan_Free(&plan);
 }
 
-/* A process is stopped for an hour and wakes with one good measurement. */
+/* A process is paused for an hour and resumes with one good measurement. */
 static void
-test_a_paused_process_does_not_catch_up_at_once(void **state)
+test_paused_process_does_not_catch_up_in_one_step(void **state)
 {
     (void)state;
     struct sas_plan plan = {0};
@@ -197,7 +198,7 @@
 }
 
 static void
-test_holds_are_stated_and_lifted(void **state)
+test_holds_are_reported_and_lifted(void **state)
 {
     (void)state;
     struct sas_plan plan = {0};
@@ -223,11 +224,11 @@
     SasPlan_Free(&plan);
 }
 
-/* A region dies in the middle of a shift towards it and comes back with cold
- * caches. Its share must be 0 at once, and must not return in one step even
- * though the row has no ramp. */
+/* A region goes down during a shift towards it and comes back with cold
+ * caches. Its share must be 0 at once and must not return in one step,
+ * although the row has no ramp. */
 static void
-test_a_region_that_is_gone_gets_nothing(void **state)
+test_down_region_gets_no_share(void **state)
 {
     (void)state;
     struct sas_plan plan = {0};
@@ -235,16 +236,16 @@
     build(&plan, 1, "+0,dossiers,montreal,quebec,60%,,,\n");
     run(&plan, NOW, 0, 1);
     assert_near(get_share(&plan), 0.6);
-    gone[QUEBEC] = true;
+    down[QUEBEC] = true;
     run(&plan, NOW + 2000, 2000, 0);
     assert_near(get_share(&plan), 0);
     assert_int_equal(get_hold(&plan), SAS_HOLD_REGION_GONE);
-    gone[QUEBEC] = false;
+    down[QUEBEC] = false;
     run(&plan, NOW + 3000, 3000, 1);
     assert_true(get_share(&plan) > 0 && get_share(&plan) < 0.03);
     run(&plan, NOW + 4000, 4000, 60);
     assert_near(get_share(&plan), 0.6);
-    gone[MONTREAL] = true;
+    down[MONTREAL] = true;
     run(&plan, NOW + 65000, 65000, 0);
     SasPlan_GetWeights(&plan, DOSSIERS, MONTREAL, weights);
     assert_near(weights[MONTREAL], 0);
@@ -253,10 +254,10 @@
     SasPlan_Free(&plan);
 }
 
-/* An operator drains a server in the middle of a ramp: that is a new version,
- * and the ramp would begin again from nothing. */
+/* Guards against a ramp that begins again at 0 because an operator drains a
+ * server, which makes a new version. */
 static void
-test_a_new_version_keeps_what_is_in_force(void **state)
+test_new_version_keeps_the_share_in_force(void **state)
 {
     (void)state;
     struct sas_plan plan = {0};
@@ -277,11 +278,11 @@
     SasPlan_Free(&plan);
 }
 
-/* An entry VM whose clock is behind takes a version that repeats a shift:
- * until its clock came to the version's time the shift had no share and no
- * cap there. */
+/* An entry VM whose clock is behind applies a new version that repeats a
+ * shift. The shift must keep its share and its cap although the clock has not
+ * reached the version's time. */
 static void
-test_a_clock_that_is_behind_ends_no_shift(void **state)
+test_lagging_clock_ends_no_shift(void **state)
 {
     (void)state;
     struct sas_plan plan = {0};
@@ -296,7 +297,7 @@
         SasPlan_FindShift(&plan, DOSSIERS, MONTREAL, QUEBEC)->cap_unit,
         SAS_CAP_REQUESTS);
     SasPlan_Free(&plan);
-    /* One that is off by an hour says nothing of this one's schedule. */
+    /* A clock that is behind by an hour exceeds the tolerated skew. */
     plan = (struct sas_plan){0};
     build(&plan, 1, row);
     run(&plan, NOW - HOUR, 0, 1);
@@ -305,7 +306,7 @@
 }
 
 static void
-test_rows_follow_each_other(void **state)
+test_rows_take_effect_in_order(void **state)
 {
     (void)state;
     struct sas_plan plan = {0};
@@ -340,7 +341,7 @@
 }
 
 static void
-test_capacity_is_checked_before(void **state)
+test_capacity_check_names_row_and_column(void **state)
 {
     (void)state;
     static const struct sas_demand demand[6] = {{100, 1000, 5}, {100, 100, 4},
@@ -348,7 +349,7 @@
                                                 {10, 100, 1},   {10, 100, 1}};
     static const struct {
         const char *rows;
-        const char *column; /* NULL when it is carried */
+        const char *column; /* NULL when the check passes */
         int row;
     } cases[] = {
         {"+0,dossiers,montreal,quebec,40%,,,\n", NULL, 0},
@@ -385,27 +386,25 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup(test_a_ramp_rises_evenly, set_up),
-        cmocka_unit_test_setup(test_a_clock_that_jumps_ahead_skips_no_ramp,
+        cmocka_unit_test_setup(test_ramp_rises_linearly, set_up),
+        cmocka_unit_test_setup(test_forward_clock_jump_skips_no_ramp, set_up),
+        cmocka_unit_test_setup(test_short_forward_jump_starts_no_later_row,
                                set_up),
-        cmocka_unit_test_setup(test_a_short_jump_ahead_starts_no_later_row,
+        cmocka_unit_test_setup(test_backward_clock_jump_undoes_no_ramp,
                                set_up),
-        cmocka_unit_test_setup(test_a_clock_that_jumps_back_undoes_no_ramp,
+        cmocka_unit_test_setup(test_new_node_starts_at_the_seeded_share,
                                set_up),
-        cmocka_unit_test_setup(test_a_fresh_node_does_not_jump, set_up),
-        cmocka_unit_test_setup(test_a_late_first_version_is_seeded_too,
+        cmocka_unit_test_setup(test_late_first_version_can_be_seeded, set_up),
+        cmocka_unit_test_setup(
+            test_paused_process_does_not_catch_up_in_one_step, set_up),
+        cmocka_unit_test_setup(test_holds_are_reported_and_lifted, set_up),
+        cmocka_unit_test_setup(test_down_region_gets_no_share, set_up),
+        cmocka_unit_test_setup(test_new_version_keeps_the_share_in_force,
                                set_up),
-        cmocka_unit_test_setup(test_a_paused_process_does_not_catch_up_at_once,
+        cmocka_unit_test_setup(test_lagging_clock_ends_no_shift, set_up),
+        cmocka_unit_test_setup(test_rows_take_effect_in_order, set_up),
+        cmocka_unit_test_setup(test_capacity_check_names_row_and_column,
                                set_up),
-        cmocka_unit_test_setup(test_holds_are_stated_and_lifted, set_up),
-        cmocka_unit_test_setup(test_a_region_that_is_gone_gets_nothing,
-                               set_up),
-        cmocka_unit_test_setup(test_a_new_version_keeps_what_is_in_force,
-                               set_up),
-        cmocka_unit_test_setup(test_a_clock_that_is_behind_ends_no_shift,
-                               set_up),
-        cmocka_unit_test_setup(test_rows_follow_each_other, set_up),
-        cmocka_unit_test_setup(test_capacity_is_checked_before, set_up),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/core/tests/test_sheet.c
+++ b/packages/core/tests/test_sheet.c
@@ -24,7 +24,7 @@
 }
 
 static void
-test_the_documented_sheet_is_read(void **state)
+test_documented_sheet_is_parsed(void **state)
 {
     (void)state;
     struct sas_sheet sheet;
@@ -76,10 +76,10 @@
     SasSheet_Free(&sheet);
 }
 
-/* A night in Montreal is the next day in UTC: 21:00 on the first of December
- * there. 23:00 must be two hours away, not a day and two hours. */
+/* It is 21:00 on 1 December in Montreal, which is already 2 December in UTC.
+ * 23:00 must be two hours away, not a day and two hours. */
 static void
-test_the_day_is_that_of_the_deployment(void **state)
+test_clock_time_is_on_the_local_day(void **state)
 {
     (void)state;
     struct sas_sheet sheet;
@@ -157,7 +157,7 @@
 }
 
 static void
-test_shares_of_one_time_are_judged_together(void **state)
+test_shares_of_one_time_are_summed_together(void **state)
 {
     (void)state;
     struct sas_sheet sheet;
@@ -186,10 +186,10 @@
     assert_string_equal(error.column, "from");
     assert_int_equal(SasSheet_Parse(&sheet, &fixture, "", 0, NOW, 0, &error),
                      -1);
-    const char *marked = "\xef\xbb\xbf" HEADER ",,,,,,,\n"
-                         "+0,x,montreal,quebec,1%,,,\n";
-    assert_int_equal(SasSheet_Parse(&sheet, &fixture, marked, strlen(marked),
-                                    NOW, 0, &error),
+    const char *with_bom = "\xef\xbb\xbf" HEADER ",,,,,,,\n"
+                           "+0,x,montreal,quebec,1%,,,\n";
+    assert_int_equal(SasSheet_Parse(&sheet, &fixture, with_bom,
+                                    strlen(with_bom), NOW, 0, &error),
                      -1);
     assert_int_equal(error.row, 3);
     assert_string_equal(error.column, "service");
@@ -220,11 +220,11 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_the_documented_sheet_is_read),
+        cmocka_unit_test(test_documented_sheet_is_parsed),
         cmocka_unit_test(test_times_in_all_forms_are_sorted_stably),
-        cmocka_unit_test(test_the_day_is_that_of_the_deployment),
+        cmocka_unit_test(test_clock_time_is_on_the_local_day),
         cmocka_unit_test(test_bad_sheets_name_row_and_column),
-        cmocka_unit_test(test_shares_of_one_time_are_judged_together),
+        cmocka_unit_test(test_shares_of_one_time_are_summed_together),
         cmocka_unit_test(test_headers_and_blank_rows),
         cmocka_unit_test(test_sizes_are_bounded),
     };
--- a/packages/core/tests/test_steering.c
+++ b/packages/core/tests/test_steering.c
@@ -105,7 +105,7 @@
 }
 
 static void
-test_a_share_of_the_objects_goes_where_the_sheet_says(void **state)
+test_share_of_objects_is_steered(void **state)
 {
     (void)state;
     struct fixture *f = start();
@@ -118,11 +118,11 @@
     stop(f);
 }
 
-/* A shift's cap is 10 requests a second and three entry VMs carry it. Each
- * sees callers enough for all of it; together they must stay under it in any
- * second, and use it whole. */
+/* Three entry VMs share a cap of 10 requests/s, each with enough requests for
+ * all of it. Together they must use the full cap and not exceed it in any
+ * second. */
 static void
-test_entry_vms_together_stay_under_the_cap(void **state)
+test_entry_vms_together_keep_the_cap(void **state)
 {
     (void)state;
     int sum = 0;
@@ -138,9 +138,10 @@
     assert_int_equal(sum, 10);
 }
 
-/* One that starts would use its part of a cap while the others still do. */
+/* Guards against exceeding a cap: the others still use the part of an entry VM
+ * that has just joined. */
 static void
-test_a_newcomer_has_no_part_of_a_cap(void **state)
+test_joining_vm_has_no_part_of_a_cap(void **state)
 {
     (void)state;
     struct fixture *f = start();
@@ -157,7 +158,7 @@
 }
 
 static void
-test_a_cap_of_concurrent_requests_counts_those_that_run(void **state)
+test_concurrency_cap_counts_running_requests(void **state)
 {
     (void)state;
     struct fixture *f = start();
@@ -175,11 +176,11 @@
     stop(f);
 }
 
-/* Callers' answers would be cut off: planners have taken a server out by the
- * sheet, and it is being switched off. It must get nothing new, and its
- * objects go to others. The next sheet takes it back. */
+/* A server that the sheet drains is about to be switched off, which would
+ * reset its requests. It must get no new ones; its objects go to other
+ * servers. The next sheet, without the drain, makes it available again. */
 static void
-test_servers_and_vms_that_the_sheet_drains_are_left(void **state)
+test_drained_servers_and_vms_get_no_new_work(void **state)
 {
     (void)state;
     struct fixture *f = start();
@@ -201,26 +202,26 @@
     stop(f);
 }
 
-/* A region whose entry VMs are all silent gets no share of others' callers. */
+/* A region that is down gets no share of other regions' callers. */
 static void
-test_nothing_goes_to_a_region_that_is_gone(void **state)
+test_down_region_gets_no_requests(void **state)
 {
     (void)state;
     struct fixture *f = start();
     struct sas_config *config =
         accept(f, SasSheet_HEADER "\n+0,desk,east,west,100%,,,\n");
-    bool gone[SasModel_MAX_REGIONS] = {false};
-    gone[f->west] = true;
-    SasSteering_Advance(f->steering, WALL_MS + 1000, 2000, gone);
+    bool down[SasModel_MAX_REGIONS] = {false};
+    down[f->west] = true;
+    SasSteering_Advance(f->steering, WALL_MS + 1000, 2000, down);
     assert_int_equal(count_steered(f, 1, 0, 2000), 0);
     SasConfig_Unref(config);
     stop(f);
 }
 
-/* Services come at run time; the plan of the sheet in force must have room
- * for them, and their callers stay at home. */
+/* Services can be added at run time, after the plan was built. They must not
+ * be looked up beyond the plan's tables; their callers stay at home. */
 static void
-test_a_service_that_comes_later_is_steered_nowhere(void **state)
+test_service_added_later_stays_at_home(void **state)
 {
     (void)state;
     struct fixture *f = start();
@@ -238,11 +239,11 @@
     stop(f);
 }
 
-/* A server that a stored sheet drains is long gone when a process starts and
- * reads that sheet. It must be taken over all the same: otherwise this entry
- * VM would be without a sheet while the others have one. */
+/* A stored sheet drains a server that no longer exists when a process starts
+ * and reads the sheet. The sheet must be accepted all the same: otherwise this
+ * entry VM would have none while the others do. */
 static void
-test_a_stored_sheet_that_names_what_is_gone_is_read(void **state)
+test_stored_sheet_with_removed_server_is_decoded(void **state)
 {
     (void)state;
     struct fixture *f = start();
@@ -262,11 +263,11 @@
     SasSnapshot_AddNames(model, f->fleet, text, strlen(text));
     config = SasConfig_Decode(model, text, strlen(text), &error);
     assert_non_null(config);
-    /* It stays as long as the sheet names it, and keeps its place. */
-    int place = SasModel_FindBackend(model, "e1");
+    /* The row stays, at the same index, as long as the sheet names it. */
+    int index = SasModel_FindBackend(model, "e1");
     SasFleet_RemoveServer(f->fleet, "e2");
     SasSnapshot_Refresh(model, f->fleet, config);
-    assert_int_equal(SasModel_FindBackend(model, "e1"), place);
+    assert_int_equal(SasModel_FindBackend(model, "e1"), index);
     assert_int_equal(SasModel_FindBackend(model, "e2"), SasModel_NONE);
     SasSnapshot_Refresh(model, f->fleet, NULL);
     assert_int_equal(SasModel_FindBackend(model, "e1"), SasModel_NONE);
@@ -279,16 +280,14 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(
-            test_a_share_of_the_objects_goes_where_the_sheet_says),
-        cmocka_unit_test(test_entry_vms_together_stay_under_the_cap),
-        cmocka_unit_test(test_a_newcomer_has_no_part_of_a_cap),
-        cmocka_unit_test(
-            test_a_cap_of_concurrent_requests_counts_those_that_run),
-        cmocka_unit_test(test_servers_and_vms_that_the_sheet_drains_are_left),
-        cmocka_unit_test(test_nothing_goes_to_a_region_that_is_gone),
-        cmocka_unit_test(test_a_service_that_comes_later_is_steered_nowhere),
-        cmocka_unit_test(test_a_stored_sheet_that_names_what_is_gone_is_read),
+        cmocka_unit_test(test_share_of_objects_is_steered),
+        cmocka_unit_test(test_entry_vms_together_keep_the_cap),
+        cmocka_unit_test(test_joining_vm_has_no_part_of_a_cap),
+        cmocka_unit_test(test_concurrency_cap_counts_running_requests),
+        cmocka_unit_test(test_drained_servers_and_vms_get_no_new_work),
+        cmocka_unit_test(test_down_region_gets_no_requests),
+        cmocka_unit_test(test_service_added_later_stays_at_home),
+        cmocka_unit_test(test_stored_sheet_with_removed_server_is_decoded),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
