--- a/packages/core/include/sas/place.h
+++ b/packages/core/include/sas/place.h
@@ -3,7 +3,7 @@
  * The caller fills in one struct sas_place_server for each candidate server
  * and calls a policy's pick function. It returns an index into that array, or
  * SasModel_NONE when no usable server has free capacity; the caller then waits
- * a little, spills over to another region or refuses the request. A policy
+ * briefly, spills over to another region or refuses the request. A policy
  * keeps no pointer to the array and reads no clock. docs/notes-placement.md
  * compares the policies.
  *
--- a/packages/core/include/sas/plan.h
+++ b/packages/core/include/sas/plan.h
@@ -3,7 +3,8 @@
  * Each node computes its plan alone, from the configuration version, its
  * clocks and its measurements; there is no leader. SasPlan_Advance is called
  * about once a second with the wall clock (milliseconds since the epoch), a
- * monotonic clock and the signals; between two calls nothing changes.
+ * monotonic clock and the signals; between two calls only SasPlan_Seed changes
+ * anything.
  *
  * Schedule clock. It starts at the wall clock and never goes back. When the
  * wall clock jumps forward, the schedule clock follows at no more than
@@ -49,10 +50,10 @@
 /* Why a share does not rise although it is below the ordered share. */
 enum sas_hold {
     SAS_HOLD_NONE,
-    SAS_HOLD_MEASUREMENTS_OLD,
+    SAS_HOLD_MEASUREMENTS_OLD, /* stale or missing */
     SAS_HOLD_HEADROOM_SHORT,
-    SAS_HOLD_CACHE_COLD,
-    SAS_HOLD_REGION_GONE
+    SAS_HOLD_CACHE_COLD, /* the row's warm-up time is not over */
+    SAS_HOLD_REGION_GONE /* the target region is down */
 };
 
 /* Measurement of a service in a region; NAN when unknown. */
@@ -173,9 +174,9 @@
  * capacity of links, with all ramps complete; demand is indexed by
  * [service * regions + home], NULL when unknown. Refuses a shift to a region
  * without a backend server left for it, a cap above the capacity of target or
- * link, and any time at which the known demand, or else the caps, overload a
- * region or a link. Returns 0, or -1 with SAS_ECAPACITY and the row and column
- * in *place (which may be NULL). */
+ * link, and any time at which a region or a link is overloaded. The load of a
+ * shift is the lesser of its known demand and its cap. Returns 0, or -1 with
+ * SAS_ECAPACITY and the row and column in *place (which may be NULL). */
 int SasPlan_CheckCapacity(const struct sas_model *model,
                           const struct sas_config *config,
                           const struct sas_demand *demand,
--- a/packages/core/include/sas/steering.h
+++ b/packages/core/include/sas/steering.h
@@ -10,7 +10,9 @@
  * A cap is divided evenly among the entry VMs of the home region; the first
  * ones get one unit more when it does not divide evenly. A request above the
  * cap stays at home. An entry VM does not know what the others leave unused,
- * so unevenly spread callers use less than the cap, never more.
+ * so unevenly spread callers use less than the cap, never more. The bytes of
+ * an answer are only counted when its request ends, so a cap in Mbit/s can be
+ * exceeded by answers under way.
  *
  * Times are milliseconds: wall_ms since the epoch, now_ms monotonic.
  */
