--- a/packages/gateway/src/directory.c
+++ b/packages/gateway/src/endpoints.c
@@ -1,4 +1,4 @@
-#include "directory.h"
+#include "endpoints.h"
 
 #include <string.h>
 
@@ -33,21 +33,21 @@
 }
 
 static void
-answer_lookup(struct sas_directory *directory,
+answer_lookup(struct sas_endpoints *endpoints,
               struct sas_http_exchange *exchange)
 {
     const char *target = SasHttpExchange_GetTarget(exchange);
-    const struct sas_entry_wire *wire = directory->wire;
+    const struct sas_entry_wire *wire = endpoints->wire;
     g_autofree char *zone = get_parameter(target, wire->lookup_zone);
     g_autofree char *region = get_parameter(target, wire->lookup_region);
-    struct sas_address addresses[SasMesh_MAX_NAMED];
-    int count = SasMesh_Find(
-        directory->mesh,
-        zone != NULL ? SasFleet_FindZone(directory->fleet, zone)
+    struct sas_address addresses[SasMesh_MAX_ADDRESSES];
+    int count = SasMesh_Lookup(
+        endpoints->mesh,
+        zone != NULL ? SasFleet_FindZone(endpoints->fleet, zone)
                      : SasModel_NONE,
-        region != NULL ? SasFleet_FindRegion(directory->fleet, region)
+        region != NULL ? SasFleet_FindRegion(endpoints->fleet, region)
                        : SasModel_NONE,
-        addresses, SasMesh_MAX_NAMED);
+        addresses, SasMesh_MAX_ADDRESSES);
     if (count == 0) {
         reply_text(exchange, 503, "text/plain", "no entry VM is known\n");
         return;
@@ -62,7 +62,7 @@
     json_object_set_new(object, wire->lookup_addresses, list);
     json_object_set_new(
         object, wire->lookup_ttl_s,
-        json_integer(directory->settings->bounds.lookup_ttl_ms / 1000));
+        json_integer(endpoints->settings->bounds.lookup_ttl_ms / 1000));
     char *text = json_dumps(object, JSON_COMPACT);
     reply_text(exchange, 200, "application/json", text);
     free(text);
@@ -70,36 +70,36 @@
 }
 
 static void
-answer_metrics(struct sas_directory *directory,
+answer_metrics(struct sas_endpoints *endpoints,
                struct sas_http_exchange *exchange)
 {
-    g_autofree char *text = SasMetrics_Format(directory->metrics);
+    g_autofree char *text = SasMetrics_Format(endpoints->metrics);
     reply_text(exchange, 200, "text/plain; version=0.0.4", text);
 }
 
 static void
-answer_ready(struct sas_directory *directory,
+answer_ready(struct sas_endpoints *endpoints,
              struct sas_http_exchange *exchange)
 {
-    bool ready = directory->ready && !directory->leaving;
+    bool ready = endpoints->ready && !endpoints->leaving;
     reply_text(exchange, ready ? 200 : 503, "text/plain",
                ready ? "ready\n" : "not ready\n");
 }
 
 static void
-answer_view(struct sas_directory *directory,
+answer_view(struct sas_endpoints *endpoints,
             struct sas_http_exchange *exchange)
 {
     const char *target = SasHttpExchange_GetTarget(exchange);
     g_autofree char *service = get_parameter(target, "service");
     g_autofree char *object = get_parameter(target, "object");
-    struct sas_view_parts parts = {
-        .fleet = directory->fleet,
-        .mesh = directory->mesh,
-        .steering = directory->steering,
+    struct sas_view_options options = {
+        .fleet = endpoints->fleet,
+        .mesh = endpoints->mesh,
+        .steering = endpoints->steering,
     };
-    json_t *view = SasView_Make(&parts, service, object,
-                                (int64_t)uv_now(directory->loop));
+    json_t *view = SasView_Make(&options, service, object,
+                                (int64_t)uv_now(endpoints->loop));
     char *text = json_dumps(view, JSON_COMPACT);
     reply_text(exchange, 200, "application/json", text);
     free(text);
@@ -118,11 +118,11 @@
 on_caller_request(struct sas_http_handler *handler,
                   struct sas_http_exchange *exchange)
 {
-    struct sas_directory *directory =
-        (struct sas_directory *)((char *)handler -
-                                 offsetof(struct sas_directory, callers));
-    if (has_path(exchange, directory->wire->lookup_path)) {
-        answer_lookup(directory, exchange);
+    struct sas_endpoints *endpoints =
+        (struct sas_endpoints *)((char *)handler -
+                                 offsetof(struct sas_endpoints, callers));
+    if (has_path(exchange, endpoints->wire->lookup_path)) {
+        answer_lookup(endpoints, exchange);
         return;
     }
     reply_text(exchange, 404, "text/plain", "no such page\n");
@@ -132,17 +132,17 @@
 on_operator_request(struct sas_http_handler *handler,
                     struct sas_http_exchange *exchange)
 {
-    struct sas_directory *directory =
-        (struct sas_directory *)((char *)handler -
-                                 offsetof(struct sas_directory, operators));
-    if (has_path(exchange, directory->wire->ready_path)) {
-        answer_ready(directory, exchange);
+    struct sas_endpoints *endpoints =
+        (struct sas_endpoints *)((char *)handler -
+                                 offsetof(struct sas_endpoints, operators));
+    if (has_path(exchange, endpoints->wire->ready_path)) {
+        answer_ready(endpoints, exchange);
     }
     else if (has_path(exchange, "/metrics")) {
-        answer_metrics(directory, exchange);
+        answer_metrics(endpoints, exchange);
     }
     else if (has_path(exchange, "/v1/view")) {
-        answer_view(directory, exchange);
+        answer_view(endpoints, exchange);
     }
     else {
         reply_text(exchange, 404, "text/plain", "no such page\n");
@@ -150,8 +150,8 @@
 }
 
 void
-SasDirectory_Init(struct sas_directory *directory)
+SasEndpoints_Init(struct sas_endpoints *endpoints)
 {
-    directory->callers.on_request = on_caller_request;
-    directory->operators.on_request = on_operator_request;
+    endpoints->callers.on_request = on_caller_request;
+    endpoints->operators.on_request = on_operator_request;
 }
--- a/packages/gateway/src/directory.h
+++ b/packages/gateway/src/endpoints.h
@@ -4,8 +4,8 @@
  * The two have handlers of their own: callers' port tells nothing of what is
  * inside.
  */
-#ifndef SAS_DIRECTORY_H
-#define SAS_DIRECTORY_H
+#ifndef SAS_ENDPOINTS_H
+#define SAS_ENDPOINTS_H
 
 #include "mesh.h"
 #include "sas/entry.h"
@@ -14,7 +14,7 @@
 #include "sas/metrics.h"
 #include "sas/steering.h"
 
-struct sas_directory {
+struct sas_endpoints {
     struct sas_http_handler callers;
     struct sas_http_handler operators;
     uv_loop_t *loop;
@@ -28,6 +28,6 @@
     bool leaving;
 };
 
-void SasDirectory_Init(struct sas_directory *directory);
+void SasEndpoints_Init(struct sas_endpoints *endpoints);
 
 #endif
--- a/packages/gateway/src/gateway.c
+++ b/packages/gateway/src/gateway.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "directory.h"
+#include "endpoints.h"
 #include "mesh.h"
 #include "pool.h"
 #include "relay.h"
@@ -52,16 +52,16 @@
     struct sas_mesh *mesh;
     struct sas_pool *pool;
     struct sas_relay *relay;
-    struct sas_directory directory;
+    struct sas_endpoints endpoints;
     struct sas_http_server *servers[LISTEN_COUNT];
     GRand *random;
-    uv_timer_t sweep;
-    uv_timer_t stop;
+    uv_timer_t sweep_timer;
+    uv_timer_t stop_timer;
     uv_signal_t signals[3];
-    uv_fs_poll_t file; /* the settings */
-    int open_handles;  /* of those above, while they are being closed */
+    uv_fs_poll_t settings_poll; /* the settings */
+    int open_handles; /* of those above, while they are being closed */
     struct sas_stop_plan stop_plan;
-    bool stop_was_over; /* at the check before */
+    bool was_drained; /* at the check before */
     void (*reload)(void *data);
     void *reload_data;
 };
@@ -132,8 +132,8 @@
     const struct sas_address *addresses[LISTEN_COUNT] = {&s->caller, &s->ready,
                                                          &s->lookup, &s->peer};
     struct sas_http_handler *handlers[LISTEN_COUNT] = {
-        SasRelay_GetHandler(gateway->relay), &gateway->directory.operators,
-        &gateway->directory.callers, gateway->source->peers};
+        SasRelay_GetHandler(gateway->relay), &gateway->endpoints.operators,
+        &gateway->endpoints.callers, gateway->source->peers};
     for (int i = 0; i < LISTEN_COUNT; i++) {
         gateway->servers[i] = SasHttpServer_Open(
             gateway->loop, addresses[i], i == LISTEN_CALLER ? &limits : &small,
@@ -146,8 +146,8 @@
 }
 
 static void
-open_parts(struct sas_gateway *gateway,
-           const struct sas_gateway_options *given)
+open_components(struct sas_gateway *gateway,
+                const struct sas_gateway_options *given)
 {
     gateway->pool = SasPool_New(gateway->loop, gateway->fleet);
     struct sas_relay_options options = {
@@ -162,14 +162,14 @@
         .steering = given->steering,
     };
     gateway->relay = SasRelay_New(&options);
-    gateway->directory.loop = gateway->loop;
-    gateway->directory.fleet = gateway->fleet;
-    gateway->directory.mesh = gateway->mesh;
-    gateway->directory.metrics = gateway->metrics;
-    gateway->directory.settings = gateway->settings;
-    gateway->directory.wire = given->wire;
-    gateway->directory.steering = given->steering;
-    SasDirectory_Init(&gateway->directory);
+    gateway->endpoints.loop = gateway->loop;
+    gateway->endpoints.fleet = gateway->fleet;
+    gateway->endpoints.mesh = gateway->mesh;
+    gateway->endpoints.metrics = gateway->metrics;
+    gateway->endpoints.settings = gateway->settings;
+    gateway->endpoints.wire = given->wire;
+    gateway->endpoints.steering = given->steering;
+    SasEndpoints_Init(&gateway->endpoints);
 }
 
 struct sas_gateway *
@@ -190,18 +190,18 @@
     if (gateway->mesh == NULL) {
         return NULL;
     }
-    open_parts(gateway, options);
+    open_components(gateway, options);
     if (open_servers(gateway, error) != 0) {
         return NULL;
     }
     SasFleet_AddListener(gateway->fleet, &gateway->listener);
-    uv_timer_init(loop, &gateway->sweep);
-    uv_timer_init(loop, &gateway->stop);
-    gateway->sweep.data = gateway;
-    gateway->stop.data = gateway;
-    uv_fs_poll_init(loop, &gateway->file);
-    gateway->file.data = gateway;
-    uv_timer_start(&gateway->sweep, on_sweep, SWEEP_MS, SWEEP_MS);
+    uv_timer_init(loop, &gateway->sweep_timer);
+    uv_timer_init(loop, &gateway->stop_timer);
+    gateway->sweep_timer.data = gateway;
+    gateway->stop_timer.data = gateway;
+    uv_fs_poll_init(loop, &gateway->settings_poll);
+    gateway->settings_poll.data = gateway;
+    uv_timer_start(&gateway->sweep_timer, on_sweep, SWEEP_MS, SWEEP_MS);
     static const int numbers[] = {SIGTERM, SIGINT, SIGHUP};
     for (int i = 0; i < 3; i++) {
         uv_signal_init(loop, &gateway->signals[i]);
@@ -253,9 +253,9 @@
     close_servers(gateway);
     SasPool_Free(gateway->pool);
     SasMesh_Close(gateway->mesh);
-    close_handle(gateway, (uv_handle_t *)&gateway->sweep);
-    close_handle(gateway, (uv_handle_t *)&gateway->stop);
-    close_handle(gateway, (uv_handle_t *)&gateway->file);
+    close_handle(gateway, (uv_handle_t *)&gateway->sweep_timer);
+    close_handle(gateway, (uv_handle_t *)&gateway->stop_timer);
+    close_handle(gateway, (uv_handle_t *)&gateway->settings_poll);
     for (int i = 0; i < 3; i++) {
         close_handle(gateway, (uv_handle_t *)&gateway->signals[i]);
     }
@@ -273,7 +273,7 @@
 bool
 SasGateway_IsReady(const struct sas_gateway *gateway)
 {
-    return gateway->directory.ready && !gateway->directory.leaving;
+    return gateway->endpoints.ready && !gateway->endpoints.leaving;
 }
 
 struct sas_mesh *
@@ -311,7 +311,8 @@
 {
     gateway->reload = reload;
     gateway->reload_data = data;
-    uv_fs_poll_start(&gateway->file, on_file_changed, path, FILE_POLL_MS);
+    uv_fs_poll_start(&gateway->settings_poll, on_file_changed, path,
+                     FILE_POLL_MS);
 }
 
 static void
@@ -321,8 +322,8 @@
     SasPool_Sweep(gateway->pool);
     bool ready = SasFleet_GetConfig(gateway->fleet) != NULL &&
                  gateway->source->is_ready(gateway->source);
-    if (ready != gateway->directory.ready) {
-        gateway->directory.ready = ready;
+    if (ready != gateway->endpoints.ready) {
+        gateway->endpoints.ready = ready;
         SasLog_Write(SasLog_INFO, "process.ready", "", "ready=%d", ready);
     }
 }
@@ -343,11 +344,11 @@
         "signal=%d requests=%d connections=%d", number,
         SasHttpServer_CountExchanges(gateway->servers[LISTEN_CALLER]),
         SasHttpServer_CountConnections(gateway->servers[LISTEN_CALLER]));
-    gateway->directory.leaving = true;
+    gateway->endpoints.leaving = true;
     SasRelay_Stop(gateway->relay, &gateway->stop_plan);
     SasMesh_Leave(gateway->mesh);
     SasHttpServer_Drain(gateway->servers[LISTEN_CALLER], STOP_IDLE_MS);
-    uv_timer_start(&gateway->stop, on_stop_check, STOP_CHECK_MS,
+    uv_timer_start(&gateway->stop_timer, on_stop_check, STOP_CHECK_MS,
                    STOP_CHECK_MS);
 }
 
@@ -360,7 +361,7 @@
             "connections=%d requests=%d are cut off at the stop's limit", busy,
             SasHttpServer_CountExchanges(gateway->servers[LISTEN_CALLER]));
     }
-    uv_timer_stop(&gateway->stop);
+    uv_timer_stop(&gateway->stop_timer);
     gateway->source->stop(gateway->source);
     /* Closing the other parts runs the loop again: from here on nothing may be
      * taken. */
@@ -380,7 +381,7 @@
     struct sas_gateway *gateway = timer->data;
     int64_t now_ms = (int64_t)uv_now(gateway->loop);
     if (SasStop_IsGivenUp(&gateway->stop_plan, now_ms)) {
-        SasRelay_GiveUp(gateway->relay);
+        SasRelay_FailPending(gateway->relay);
     }
     const struct sas_http_server *callers = gateway->servers[LISTEN_CALLER];
     struct sas_stop_left left = {
@@ -390,9 +391,9 @@
     bool over = SasStop_IsOver(&gateway->stop_plan, now_ms, &left);
     /* After a pause of the process callers may wait at the port: the sockets
      * are read once more before it ends. */
-    bool settled = gateway->stop_was_over ||
-                   SasStop_IsAtLimit(&gateway->stop_plan, now_ms);
-    gateway->stop_was_over = over;
+    bool settled =
+        gateway->was_drained || SasStop_IsAtLimit(&gateway->stop_plan, now_ms);
+    gateway->was_drained = over;
     if (over && settled) {
         end_process(gateway, left.busy);
     }
--- a/packages/gateway/src/mesh.c
+++ b/packages/gateway/src/mesh.c
@@ -3,14 +3,14 @@
 #include <string.h>
 #include <xxhash.h>
 
-#include "mesh_seats.h"
+#include "mesh_internal.h"
 #include "sas/http.h"
 #include "sas/log.h"
 #include "sas/strength.h"
 
 /* Failure domains whose leaders are told of a change at once. As many leaders
  * tell each one, so that it hears of it while most of them are cut off. */
-#define TOLD_ZONES 4
+#define NOTIFIED_ZONES 4
 
 int64_t
 SasMesh_Now(const struct sas_mesh *mesh)
@@ -19,9 +19,9 @@
 }
 
 struct vm *
-SasMesh_GetVm(const struct sas_mesh *mesh, int seat)
+SasMesh_GetVm(const struct sas_mesh *mesh, int member_id)
 {
-    return &g_array_index(mesh->vms, struct vm, seat);
+    return &g_array_index(mesh->vms, struct vm, member_id);
 }
 
 /* Opening and closing. */
@@ -39,7 +39,7 @@
 }
 
 static int
-add_seat(struct sas_mesh *mesh, const struct sas_mesh_facts *facts)
+add_member(struct sas_mesh *mesh, const struct sas_mesh_facts *facts)
 {
     struct vm vm = {.facts = *facts};
     vm.zone = SasFleet_FindZone(mesh->fleet, facts->zone);
@@ -68,16 +68,17 @@
         .caller = settings->caller,
         .peer = settings->peer,
         .incarnation = (uint64_t)settings->started_at,
-        .strength = SasStrength_Estimate(settings->cores, settings->link_mbps),
+        .capacity = SasStrength_Estimate(settings->cores, settings->link_mbps),
     };
     g_strlcpy(own.name, settings->name, sizeof(own.name));
     g_strlcpy(own.zone, settings->zone, sizeof(own.zone));
-    int seat = add_seat(mesh, &own);
-    SasMembership_Init(&mesh->table, 1, OWN_SEAT, own.incarnation,
+    int member_id = add_member(mesh, &own);
+    SasMembership_Init(&mesh->table, 1, OWN_ID, own.incarnation,
                        SasMesh_Now(mesh));
-    mesh->round_at = SasMesh_Now(mesh);
-    mesh->woke_at = settings->first_start ? INT64_MIN / 2 : mesh->round_at;
-    if (SasMesh_OpenTalk(mesh, seat == OWN_SEAT, error) != 0) {
+    mesh->last_round_at = SasMesh_Now(mesh);
+    mesh->resumed_at =
+        settings->first_start ? INT64_MIN / 2 : mesh->last_round_at;
+    if (SasMesh_OpenGossip(mesh, member_id == OWN_ID, error) != 0) {
         SasMesh_Close(mesh);
         return NULL;
     }
@@ -91,20 +92,21 @@
         return;
     }
     uv_close((uv_handle_t *)&mesh->socket, on_closed);
-    uv_close((uv_handle_t *)&mesh->rounds, on_closed);
-    uv_close((uv_handle_t *)&mesh->replies, on_closed);
+    uv_close((uv_handle_t *)&mesh->round_timer, on_closed);
+    uv_close((uv_handle_t *)&mesh->reply_timer, on_closed);
 }
 
 void
-SasMesh_SetUser(struct sas_mesh *mesh, struct sas_mesh_user *user)
+SasMesh_SetListener(struct sas_mesh *mesh, struct sas_mesh_listener *listener)
 {
-    mesh->user = user;
+    mesh->listener = listener;
 }
 
 void
-SasMesh_SetTableUser(struct sas_mesh *mesh, struct sas_mesh_table_user *user)
+SasMesh_SetTableListener(struct sas_mesh *mesh,
+                         struct sas_mesh_table_listener *listener)
 {
-    mesh->table_user = user;
+    mesh->table_listener = listener;
 }
 
 /* The own entry VM. */
@@ -112,26 +114,26 @@
 const struct sas_mesh_facts *
 SasMesh_GetOwn(const struct sas_mesh *mesh)
 {
-    return &SasMesh_GetVm(mesh, OWN_SEAT)->facts;
+    return &SasMesh_GetVm(mesh, OWN_ID)->facts;
 }
 
 int
 SasMesh_GetOwnZone(const struct sas_mesh *mesh)
 {
-    return SasMesh_GetVm(mesh, OWN_SEAT)->zone;
+    return SasMesh_GetVm(mesh, OWN_ID)->zone;
 }
 
 int
-SasMesh_GetRegion(const struct sas_mesh *mesh, int seat)
+SasMesh_GetRegion(const struct sas_mesh *mesh, int member_id)
 {
-    return SasFleet_GetZone(mesh->fleet, SasMesh_GetVm(mesh, seat)->zone)
+    return SasFleet_GetZone(mesh->fleet, SasMesh_GetVm(mesh, member_id)->zone)
         ->region;
 }
 
 bool
 SasMesh_IsOwnRegion(const struct sas_mesh *mesh, int region)
 {
-    return SasMesh_GetRegion(mesh, OWN_SEAT) == region;
+    return SasMesh_GetRegion(mesh, OWN_ID) == region;
 }
 
 void
@@ -145,7 +147,7 @@
 {
     if (version > mesh->sheet_version) {
         mesh->sheet_version = version;
-        SasMesh_TellAll(mesh);
+        SasMesh_Broadcast(mesh);
     }
 }
 
@@ -170,14 +172,15 @@
     }
     mesh->changes[table] = (u_quad_t)version;
     int own = SasMesh_GetOwnZone(mesh);
-    if (SasMesh_FindZoneLeader(mesh, own) != OWN_SEAT) {
+    if (SasMesh_FindZoneLeader(mesh, own) != OWN_ID) {
         return;
     }
     int zones = SasFleet_CountZones(mesh->fleet);
-    for (int i = 1; i < zones && i <= TOLD_ZONES; i++) {
-        int seat = SasMesh_FindZoneLeader(mesh, (own + i) % zones);
-        if (seat != SasModel_NONE) {
-            SasMesh_SendNews(mesh, SasMesh_GetVm(mesh, seat), OWN_NEWS, false);
+    for (int i = 1; i < zones && i <= NOTIFIED_ZONES; i++) {
+        int member_id = SasMesh_FindZoneLeader(mesh, (own + i) % zones);
+        if (member_id != SasModel_NONE) {
+            SasMesh_SendUpdates(mesh, SasMesh_GetVm(mesh, member_id),
+                                JOIN_UPDATES, false);
         }
     }
 }
@@ -198,15 +201,15 @@
 {
     SasMembership_SetLeaving(&mesh->table);
     SasMembership_Beat(&mesh->table, SasMesh_Now(mesh));
-    SasMesh_TellAll(mesh);
+    SasMesh_Broadcast(mesh);
 }
 
 int
-SasMesh_FindSeat(const struct sas_mesh *mesh, uint64_t name_hash)
+SasMesh_FindMember(const struct sas_mesh *mesh, uint64_t name_hash)
 {
-    for (int seat = 0; seat < (int)mesh->vms->len; seat++) {
-        if (SasMesh_GetVm(mesh, seat)->name_hash == name_hash) {
-            return seat;
+    for (int member_id = 0; member_id < (int)mesh->vms->len; member_id++) {
+        if (SasMesh_GetVm(mesh, member_id)->name_hash == name_hash) {
+            return member_id;
         }
     }
     return SasModel_NONE;
@@ -216,33 +219,34 @@
 SasMesh_LearnVm(struct sas_mesh *mesh, const struct sas_mesh_facts *facts)
 {
     uint64_t hash = XXH3_64bits(facts->name, strlen(facts->name));
-    int seat = SasMesh_FindSeat(mesh, hash);
-    if (seat == SasModel_NONE) {
-        seat = add_seat(mesh, facts);
-        if (seat == SasModel_NONE) {
-            return seat;
+    int member_id = SasMesh_FindMember(mesh, hash);
+    if (member_id == SasModel_NONE) {
+        member_id = add_member(mesh, facts);
+        if (member_id == SasModel_NONE) {
+            return member_id;
         }
         SasMembership_Grow(&mesh->table, (int)mesh->vms->len);
         SasLog_Write(SasLog_INFO, "mesh.learn", facts->name,
                      "zone=%s address=%s known=%u", facts->zone,
                      facts->caller.ip, mesh->vms->len);
-        return seat;
+        return member_id;
     }
-    struct vm *vm = SasMesh_GetVm(mesh, seat);
-    if (seat != OWN_SEAT && facts->incarnation > vm->facts.incarnation) {
+    struct vm *vm = SasMesh_GetVm(mesh, member_id);
+    if (member_id != OWN_ID && facts->incarnation > vm->facts.incarnation) {
         vm->facts = *facts;
-        vm->differed_at = 0;
+        vm->mismatch_at = 0;
         SasHttp_GetSockaddr(&facts->peer, &vm->peer);
     }
-    return seat;
+    return member_id;
 }
 
 void
 SasMesh_AddVm(struct sas_mesh *mesh, const struct sas_mesh_facts *facts)
 {
-    int seat = SasMesh_LearnVm(mesh, facts);
-    if (seat > OWN_SEAT) {
-        SasMesh_SendNews(mesh, SasMesh_GetVm(mesh, seat), OWN_NEWS, true);
+    int member_id = SasMesh_LearnVm(mesh, facts);
+    if (member_id > OWN_ID) {
+        SasMesh_SendUpdates(mesh, SasMesh_GetVm(mesh, member_id), JOIN_UPDATES,
+                            true);
     }
 }
 
@@ -264,34 +268,35 @@
 /* Live ones. */
 
 bool
-SasMesh_IsLive(const struct sas_mesh *mesh, int seat)
+SasMesh_IsLive(const struct sas_mesh *mesh, int member_id)
 {
-    return SasMembership_GetState(&mesh->table, seat, SasMesh_Now(mesh)) ==
-           SAS_MEMBER_LIVE;
+    return SasMembership_GetState(&mesh->table, member_id,
+                                  SasMesh_Now(mesh)) == SAS_MEMBER_LIVE;
 }
 
 int
 SasMesh_Count(const struct sas_mesh *mesh)
 {
     int count = 0;
-    for (int seat = 0; seat < (int)mesh->vms->len; seat++) {
-        count += SasMesh_IsLive(mesh, seat) ? 1 : 0;
+    for (int member_id = 0; member_id < (int)mesh->vms->len; member_id++) {
+        count += SasMesh_IsLive(mesh, member_id) ? 1 : 0;
     }
     return MAX(count, 1);
 }
 
 void
-SasMesh_FindGone(const struct sas_mesh *mesh, bool *gone)
+SasMesh_FindGone(const struct sas_mesh *mesh, bool *down)
 {
     int regions = SasFleet_CountRegions(mesh->fleet);
-    bool cut_off = SasMembership_IsCutOff(&mesh->table, SasMesh_Now(mesh));
-    memset(gone, 0, (size_t)regions * sizeof(*gone));
-    for (int seat = 0; seat < (int)mesh->vms->len && !cut_off; seat++) {
-        gone[SasMesh_GetRegion(mesh, seat)] = true;
+    bool partitioned = SasMembership_IsCutOff(&mesh->table, SasMesh_Now(mesh));
+    memset(down, 0, (size_t)regions * sizeof(*down));
+    for (int member_id = 0; member_id < (int)mesh->vms->len && !partitioned;
+         member_id++) {
+        down[SasMesh_GetRegion(mesh, member_id)] = true;
     }
-    for (int seat = 0; seat < (int)mesh->vms->len; seat++) {
-        if (SasMesh_IsLive(mesh, seat)) {
-            gone[SasMesh_GetRegion(mesh, seat)] = false;
+    for (int member_id = 0; member_id < (int)mesh->vms->len; member_id++) {
+        if (SasMesh_IsLive(mesh, member_id)) {
+            down[SasMesh_GetRegion(mesh, member_id)] = false;
         }
     }
 }
--- a/packages/gateway/src/mesh.h
+++ b/packages/gateway/src/mesh.h
@@ -20,7 +20,7 @@
 #include "sas/quarantine.h"
 
 #define SasMesh_MAX_VMS 2048
-#define SasMesh_MAX_NAMED 8 /* addresses in one answer to a look-up */
+#define SasMesh_MAX_ADDRESSES 8 /* addresses in one answer to a look-up */
 
 struct sas_mesh;
 
@@ -30,66 +30,67 @@
     struct sas_address caller;
     struct sas_address peer;
     uint64_t incarnation; /* wall-clock ms of its start */
-    double strength;      /* requests a second that it can carry */
+    double capacity;      /* requests a second that it can carry */
 };
 
 /* Who hears of backend servers that others have stopped sending to; embed it
  * as first member. left_ms 0: the server is well again. */
-struct sas_mesh_trip_news {
+struct sas_mesh_ejection {
     uint64_t server_hash;
     int64_t left_ms;
-    bool restarted; /* well again, and had not taken connections */
-    bool grey;      /* no trip: it fails part of its requests */
+    bool restarted;    /* well again, and had not taken connections */
+    bool grey_failure; /* no trip: it fails part of its requests */
 };
 
 /* A request that ran on a backend server when it crashed, or (survived) that
  * has run to its end since. */
-struct sas_mesh_suspect_news {
+struct sas_mesh_poison_update {
     struct sas_fingerprint fingerprint;
     uint64_t crash;
-    bool alone;
-    bool survived;
+    bool isolated;
+    bool completed;
 };
 
 /* Requests that a backend server failed, and those that it answered since the
  * last such news of the same entry VM. */
-struct sas_mesh_loss_news {
+struct sas_mesh_failure_report {
     uint64_t server_hash;
     int failed;
     int answered;
 };
 
-struct sas_mesh_user {
-    void (*on_trip)(struct sas_mesh_user *user,
-                    const struct sas_mesh_trip_news *news);
-    void (*on_suspect)(struct sas_mesh_user *user,
-                       const struct sas_mesh_suspect_news *news);
+struct sas_mesh_listener {
+    void (*on_ejection)(struct sas_mesh_listener *listener,
+                        const struct sas_mesh_ejection *ejection);
+    void (*on_poison_update)(struct sas_mesh_listener *listener,
+                             const struct sas_mesh_poison_update *update);
     /* Another one's news; this entry VM is the server's tester. */
-    void (*on_loss)(struct sas_mesh_user *user,
-                    const struct sas_mesh_loss_news *news);
+    void (*on_failure_report)(struct sas_mesh_listener *listener,
+                              const struct sas_mesh_failure_report *report);
     /* Entry VM number i has other records (SasMesh_SetRecordsDigest), as one
      * that has just started has none. */
-    void (*on_differ)(struct sas_mesh_user *user, int i);
+    void (*on_digest_mismatch)(struct sas_mesh_listener *listener, int i);
     /* All that another one knows of one request that crashes servers. */
-    void (*on_record)(struct sas_mesh_user *user,
+    void (*on_record)(struct sas_mesh_listener *listener,
                       const struct sas_quarantine_entry *entry);
 };
 
 /* Who hears of changes in the tables that all entry VMs follow, a number each
  * that is the same for all; embed it as first member. teller has the change,
  * and answers at this address. */
-struct sas_mesh_table_user {
-    void (*on_change)(struct sas_mesh_table_user *user, int table,
-                      int64_t version, const struct sas_address *teller);
+struct sas_mesh_table_listener {
+    void (*on_change)(struct sas_mesh_table_listener *listener, int table,
+                      int64_t version, const struct sas_address *announcer);
 };
 
 /* Opening and closing. */
 struct sas_mesh *SasMesh_Open(uv_loop_t *loop, struct sas_fleet *fleet,
                               const struct sas_entry_settings *settings,
                               GRand *random, struct sas_error *error);
-void SasMesh_SetUser(struct sas_mesh *mesh, struct sas_mesh_user *user);
-void SasMesh_SetTableUser(struct sas_mesh *mesh,
-                          struct sas_mesh_table_user *user);
+void SasMesh_SetListener(struct sas_mesh *mesh,
+                         struct sas_mesh_listener *listener);
+void SasMesh_SetTableListener(struct sas_mesh *mesh,
+                              struct sas_mesh_table_listener *listener);
 void SasMesh_Close(struct sas_mesh *mesh);
 
 /* The own entry VM. */
@@ -131,7 +132,7 @@
 
 /* Fills in gone, by region: it had entry VMs and none is live. All false
  * while this one hears nobody; it is the one that is cut off then. */
-void SasMesh_FindGone(const struct sas_mesh *mesh, bool *gone);
+void SasMesh_FindGone(const struct sas_mesh *mesh, bool *down);
 
 /* Live ones, this one included. */
 int SasMesh_Count(const struct sas_mesh *mesh);
@@ -139,27 +140,29 @@
 /* The callers' addresses of the strongest live entry VMs in the zone, or where
  * too little of it is left in its region (region, where zone is NONE), or
  * where too little of that is left anywhere. How many; at most max. */
-int SasMesh_Find(struct sas_mesh *mesh, int zone, int region,
-                 struct sas_address *addresses, int max);
+int SasMesh_Lookup(struct sas_mesh *mesh, int zone, int region,
+                   struct sas_address *addresses, int max);
 
 /* Tells of a backend server, see on_trip: the tester all others, anybody else
  * the tester alone (nobody, where the server's region has no entry VM).
  * Hundreds that meet a slow server at the same time and tell everybody would
  * send a datagram for each pair of them. */
-void SasMesh_TellTrip(struct sas_mesh *mesh,
-                      const struct sas_mesh_trip_news *news, int region);
+void SasMesh_ReportEjection(struct sas_mesh *mesh,
+                            const struct sas_mesh_ejection *ejection,
+                            int region);
 
 /* Tells the server's tester; nobody where that is this one. */
-void SasMesh_TellLoss(struct sas_mesh *mesh,
-                      const struct sas_mesh_loss_news *news, int region);
+void SasMesh_ReportFailures(struct sas_mesh *mesh,
+                            const struct sas_mesh_failure_report *report,
+                            int region);
 
 /* Whether this entry VM is the first of all live ones in the hash's order.
  * TellSuspect goes to that one of the first row's fingerprint (low), or to
  * all. */
 bool SasMesh_IsFirst(const struct sas_mesh *mesh, uint64_t hash);
-void SasMesh_TellSuspect(struct sas_mesh *mesh,
-                         const struct sas_mesh_suspect_news *rows, int count,
-                         bool to_all);
+void SasMesh_ReportPoison(struct sas_mesh *mesh,
+                          const struct sas_mesh_poison_update *rows, int count,
+                          bool to_all);
 
 /* Records: what is known of requests that crash servers. Each message names
  * their digest, and who hears of another one is called (on_differ), now and
@@ -172,7 +175,7 @@
  * of the live ones of the server's region, in an order of the server's own.
  * Each of them trying by itself would cost a request each. Where the region
  * has lost all its entry VMs, each of the others does. */
-bool SasMesh_IsTester(const struct sas_mesh *mesh, uint64_t server_hash,
+bool SasMesh_IsProber(const struct sas_mesh *mesh, uint64_t server_hash,
                       int region);
 
 /* How many entry VMs of a region may be sending to a server of it, and the
@@ -185,7 +188,7 @@
 struct sas_mesh_senders {
     int count;
     int rank;
-    bool joined; /* this one may use its part */
+    bool has_share; /* this one may use its part */
 };
 
 struct sas_mesh_senders SasMesh_GetSenders(const struct sas_mesh *mesh,
--- a/packages/gateway/src/mesh_talk.c
+++ b/packages/gateway/src/mesh_gossip.c
@@ -1,5 +1,5 @@
 /* What entry VMs tell each other: datagrams, rounds of gossip, replies. */
-#include "mesh_seats.h"
+#include "mesh_internal.h"
 
 #include <string.h>
 
@@ -16,30 +16,30 @@
  * another's doubt of it: a doubt is raised 1.8 s after a question that got no
  * reply, so that one of a dead entry VM is never refused by this. Without it a
  * cut between two zones would make each doubt the other for everybody. */
-#define HEARD_MS 1500
+#define RECENT_CONTACT_MS 1500
 
 /* Clocks of VMs are close to the true time; the users know steps of two
  * seconds. */
 #define MAX_SKEW_MS 30000
 
 /* More than one entry VM sends to one server in a window. */
-#define MAX_LOSSES 10000u
+#define MAX_REPORTED 10000u
 
 /* Others take the part of one that is silent for longer. */
-#define PAUSE_MS 1000
+#define MAX_ROUND_DELAY_MS 1000
 
 /* Between two times that an entry VM is told of records that differ. */
-#define DIFFER_EVERY_MS 500
+#define RECORDS_INTERVAL_MS 500
 
 /* One that starts greets all others. About so many of them tell it. */
-#define TELLERS 8
+#define JOIN_RECORD_SENDERS 8
 
 static void on_round(uv_timer_t *timer);
-static void on_replies_due(uv_timer_t *timer);
+static void on_reply_timer(uv_timer_t *timer);
 static void on_alloc(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer);
 static void on_datagram(uv_udp_t *socket, ssize_t count, const uv_buf_t *data,
                         const struct sockaddr *from, unsigned flags);
-static void tell_of(struct sas_mesh *mesh, int about);
+static void broadcast_member(struct sas_mesh *mesh, int member_id);
 static void send_message(struct sas_mesh *mesh, const struct vm *vm,
                          sas_mesh_message *message);
 static void send_with_records(struct sas_mesh *mesh, const struct vm *vm,
@@ -52,7 +52,7 @@
 static void
 read_port(struct sas_mesh *mesh)
 {
-    struct vm *own = SasMesh_GetVm(mesh, OWN_SEAT);
+    struct vm *own = SasMesh_GetVm(mesh, OWN_ID);
     struct sockaddr_storage storage;
     int size = sizeof(storage);
     uv_udp_getsockname(&mesh->socket, (struct sockaddr *)&storage, &size);
@@ -61,17 +61,18 @@
 }
 
 int
-SasMesh_OpenTalk(struct sas_mesh *mesh, bool seated, struct sas_error *error)
+SasMesh_OpenGossip(struct sas_mesh *mesh, bool own_added,
+                   struct sas_error *error)
 {
     uv_udp_init(mesh->loop, &mesh->socket);
-    uv_timer_init(mesh->loop, &mesh->rounds);
-    uv_timer_init(mesh->loop, &mesh->replies);
-    SasExchange_Init(&mesh->exchanges);
+    uv_timer_init(mesh->loop, &mesh->round_timer);
+    uv_timer_init(mesh->loop, &mesh->reply_timer);
+    SasExchange_Init(&mesh->pings);
     mesh->socket.data = mesh;
-    mesh->rounds.data = mesh;
-    mesh->replies.data = mesh;
+    mesh->round_timer.data = mesh;
+    mesh->reply_timer.data = mesh;
     mesh->open_handles = 3;
-    struct vm *own = seated ? SasMesh_GetVm(mesh, OWN_SEAT) : NULL;
+    struct vm *own = own_added ? SasMesh_GetVm(mesh, OWN_ID) : NULL;
     int rc = own != NULL
                  ? uv_udp_bind(&mesh->socket, (struct sockaddr *)&own->peer, 0)
                  : UV_EINVAL;
@@ -84,27 +85,29 @@
     read_port(mesh);
     uv_udp_recv_start(&mesh->socket, on_alloc, on_datagram);
     uint64_t interval_ms = (uint64_t)mesh->table.times.interval_ms;
-    uv_timer_start(&mesh->rounds, on_round, interval_ms, interval_ms);
+    uv_timer_start(&mesh->round_timer, on_round, interval_ms, interval_ms);
     return 0;
 }
 
 /* Rounds. */
 
 static void
-log_changes(struct sas_mesh *mesh)
+log_state_changes(struct sas_mesh *mesh)
 {
-    for (int seat = OWN_SEAT + 1; seat < (int)mesh->vms->len; seat++) {
-        struct vm *vm = SasMesh_GetVm(mesh, seat);
+    for (int member_id = OWN_ID + 1; member_id < (int)mesh->vms->len;
+         member_id++) {
+        struct vm *vm = SasMesh_GetVm(mesh, member_id);
         int64_t now_ms = SasMesh_Now(mesh);
         enum sas_member_state state =
-            SasMembership_GetState(&mesh->table, seat, now_ms);
-        if (state != vm->told) {
-            SasLog_Write(SasLog_INFO, "mesh.state", vm->facts.name,
-                         "from=%s to=%s age_ms=%" G_GINT64_FORMAT,
-                         SasMembership_GetStateName(vm->told),
-                         SasMembership_GetStateName(state),
-                         SasMembership_GetAge(&mesh->table, seat, now_ms));
-            vm->told = state;
+            SasMembership_GetState(&mesh->table, member_id, now_ms);
+        if (state != vm->logged_state) {
+            SasLog_Write(
+                SasLog_INFO, "mesh.state", vm->facts.name,
+                "from=%s to=%s age_ms=%" G_GINT64_FORMAT,
+                SasMembership_GetStateName(vm->logged_state),
+                SasMembership_GetStateName(state),
+                SasMembership_GetAge(&mesh->table, member_id, now_ms));
+            vm->logged_state = state;
         }
     }
 }
@@ -115,64 +118,66 @@
  * dead one. */
 
 static void
-ask(struct sas_mesh *mesh, int seat)
+ping(struct sas_mesh *mesh, int member_id)
 {
-    SasExchange_Begin(&mesh->exchanges, seat, SasMesh_Now(mesh));
-    SasMesh_SendNews(mesh, SasMesh_GetVm(mesh, seat), SAS_MESH_MAX_NEWS, true);
-    if (!uv_is_active((uv_handle_t *)&mesh->replies)) {
-        uv_timer_start(&mesh->replies, on_replies_due, SasExchange_REPLY_MS,
-                       SasExchange_REPLY_MS);
+    SasExchange_Begin(&mesh->pings, member_id, SasMesh_Now(mesh));
+    SasMesh_SendUpdates(mesh, SasMesh_GetVm(mesh, member_id),
+                        SAS_MESH_MAX_NEWS, true);
+    if (!uv_is_active((uv_handle_t *)&mesh->reply_timer)) {
+        uv_timer_start(&mesh->reply_timer, on_reply_timer,
+                       SasExchange_REPLY_MS, SasExchange_REPLY_MS);
     }
 }
 
 static void
-note_silence(struct sas_mesh *mesh, int seat)
+note_timeout(struct sas_mesh *mesh, int member_id)
 {
-    if (SasMembership_NoteSilence(&mesh->table, seat, SasMesh_Now(mesh)) !=
-        0) {
+    if (SasMembership_NoteSilence(&mesh->table, member_id,
+                                  SasMesh_Now(mesh)) != 0) {
         SasLog_Write(
-            SasLog_INFO, "mesh.doubt", SasMesh_GetVm(mesh, seat)->facts.name,
+            SasLog_INFO, "mesh.doubt",
+            SasMesh_GetVm(mesh, member_id)->facts.name,
             "no reply to two questions, age_ms=%" G_GINT64_FORMAT,
-            SasMembership_GetAge(&mesh->table, seat, SasMesh_Now(mesh)));
-        tell_of(mesh, seat);
+            SasMembership_GetAge(&mesh->table, member_id, SasMesh_Now(mesh)));
+        broadcast_member(mesh, member_id);
     }
-    else if (SasMembership_MayRetry(&mesh->table, seat)) {
-        ask(mesh, seat);
+    else if (SasMembership_MayRetry(&mesh->table, member_id)) {
+        ping(mesh, member_id);
     }
 }
 
 static void
-on_replies_due(uv_timer_t *timer)
+on_reply_timer(uv_timer_t *timer)
 {
     struct sas_mesh *mesh = timer->data;
     struct sas_exchange_due due;
-    while (SasExchange_Next(&mesh->exchanges, SasMesh_Now(mesh), &due)) {
+    while (SasExchange_Next(&mesh->pings, SasMesh_Now(mesh), &due)) {
         if (due.silent) {
-            note_silence(mesh, due.seat);
+            note_timeout(mesh, due.seat);
         }
         else {
-            SasMesh_SendNews(mesh, SasMesh_GetVm(mesh, due.seat),
-                             SAS_MESH_MAX_NEWS, true);
+            SasMesh_SendUpdates(mesh, SasMesh_GetVm(mesh, due.seat),
+                                SAS_MESH_MAX_NEWS, true);
         }
     }
-    if (mesh->exchanges.count == 0) {
+    if (mesh->pings.count == 0) {
         uv_timer_stop(timer);
     }
 }
 
 /* A process that was frozen has rounds missing. */
 static void
-note_pause(struct sas_mesh *mesh, int64_t now_ms)
+note_freeze(struct sas_mesh *mesh, int64_t now_ms)
 {
     int64_t missed_ms =
-        now_ms - mesh->round_at - mesh->table.times.interval_ms;
-    if (missed_ms > PAUSE_MS) {
-        mesh->woke_at = now_ms;
+        now_ms - mesh->last_round_at - mesh->table.times.interval_ms;
+    if (missed_ms > MAX_ROUND_DELAY_MS) {
+        mesh->resumed_at = now_ms;
         SasLog_Write(SasLog_WARN, "mesh.pause", "",
                      "this process stood still for %" G_GINT64_FORMAT " ms",
                      missed_ms);
     }
-    mesh->round_at = now_ms;
+    mesh->last_round_at = now_ms;
 }
 
 static void
@@ -180,100 +185,103 @@
 {
     struct sas_mesh *mesh = timer->data;
     int64_t now_ms = SasMesh_Now(mesh);
-    note_pause(mesh, now_ms);
+    note_freeze(mesh, now_ms);
     SasMembership_Beat(&mesh->table, now_ms);
-    int seat = SasModel_NONE;
-    if (SasMembership_PickPeers(&mesh->table, mesh->random, now_ms, &seat,
+    int member_id = SasModel_NONE;
+    if (SasMembership_PickPeers(&mesh->table, mesh->random, now_ms, &member_id,
                                 1) == 1) {
-        ask(mesh, seat);
+        ping(mesh, member_id);
     }
-    log_changes(mesh);
+    log_state_changes(mesh);
     uv_timer_set_repeat(timer, (uint64_t)mesh->table.times.interval_ms);
 }
 
 void
-SasMesh_TellAll(struct sas_mesh *mesh)
+SasMesh_Broadcast(struct sas_mesh *mesh)
 {
-    for (int seat = OWN_SEAT + 1; seat < (int)mesh->vms->len; seat++) {
-        SasMesh_SendNews(mesh, SasMesh_GetVm(mesh, seat), SAS_MESH_MAX_NEWS,
-                         false);
+    for (int member_id = OWN_ID + 1; member_id < (int)mesh->vms->len;
+         member_id++) {
+        SasMesh_SendUpdates(mesh, SasMesh_GetVm(mesh, member_id),
+                            SAS_MESH_MAX_NEWS, false);
     }
 }
 
 /* To the first one alone; where that is this one, or with to_all, to all. */
 static void
-send_by_way_of(struct sas_mesh *mesh, sas_mesh_message *message, int first,
-               bool to_all)
+send_via(struct sas_mesh *mesh, sas_mesh_message *message, int first,
+         bool to_all)
 {
-    if (first != OWN_SEAT && !to_all) {
+    if (first != OWN_ID && !to_all) {
         if (first != SasModel_NONE) {
             send_message(mesh, SasMesh_GetVm(mesh, first), message);
         }
         return;
     }
-    for (int seat = OWN_SEAT + 1; seat < (int)mesh->vms->len; seat++) {
-        if (SasMesh_IsLive(mesh, seat)) {
-            send_message(mesh, SasMesh_GetVm(mesh, seat), message);
+    for (int member_id = OWN_ID + 1; member_id < (int)mesh->vms->len;
+         member_id++) {
+        if (SasMesh_IsLive(mesh, member_id)) {
+            send_message(mesh, SasMesh_GetVm(mesh, member_id), message);
         }
     }
 }
 
 void
-SasMesh_TellTrip(struct sas_mesh *mesh, const struct sas_mesh_trip_news *news,
-                 int region)
+SasMesh_ReportEjection(struct sas_mesh *mesh,
+                       const struct sas_mesh_ejection *ejection, int region)
 {
     sas_mesh_trip trip = {
-        .server_hash = news->server_hash,
-        .left_ms = (u_int)news->left_ms,
-        .restarted = news->restarted,
-        .grey = news->grey,
+        .server_hash = ejection->server_hash,
+        .left_ms = (u_int)ejection->left_ms,
+        .restarted = ejection->restarted,
+        .grey = ejection->grey_failure,
     };
     sas_mesh_message message = {
         .trips = {.trips_len = 1, .trips_val = &trip},
     };
-    send_by_way_of(mesh, &message,
-                   SasMesh_FindFirst(mesh, news->server_hash, region), false);
+    send_via(mesh, &message,
+             SasMesh_FindFirst(mesh, ejection->server_hash, region), false);
 }
 
 void
-SasMesh_TellLoss(struct sas_mesh *mesh, const struct sas_mesh_loss_news *news,
-                 int region)
+SasMesh_ReportFailures(struct sas_mesh *mesh,
+                       const struct sas_mesh_failure_report *report,
+                       int region)
 {
     sas_mesh_loss loss = {
-        .server_hash = news->server_hash,
-        .failed = (u_int)news->failed,
-        .answered = (u_int)news->answered,
+        .server_hash = report->server_hash,
+        .failed = (u_int)report->failed,
+        .answered = (u_int)report->answered,
     };
     sas_mesh_message message = {
         .losses = {.losses_len = 1, .losses_val = &loss},
     };
-    int tester = SasMesh_FindFirst(mesh, news->server_hash, region);
-    if (tester != SasModel_NONE && tester != OWN_SEAT) {
-        send_message(mesh, SasMesh_GetVm(mesh, tester), &message);
+    int prober = SasMesh_FindFirst(mesh, report->server_hash, region);
+    if (prober != SasModel_NONE && prober != OWN_ID) {
+        send_message(mesh, SasMesh_GetVm(mesh, prober), &message);
     }
 }
 
 /* How many rows fit; they are the message's. */
 static void
 fill_suspects(sas_mesh_message *message, sas_mesh_suspect *suspects,
-              const struct sas_mesh_suspect_news *rows, int count)
+              const struct sas_mesh_poison_update *rows, int count)
 {
     count = MIN(count, SAS_MESH_MAX_SUSPECTS);
     for (int i = 0; i < count; i++) {
         suspects[i].high = rows[i].fingerprint.high;
         suspects[i].low = rows[i].fingerprint.low;
         suspects[i].crash = rows[i].crash;
-        suspects[i].alone = rows[i].alone;
-        suspects[i].survived = rows[i].survived;
+        suspects[i].alone = rows[i].isolated;
+        suspects[i].survived = rows[i].completed;
     }
     message->suspects.suspects_len = (u_int)count;
     message->suspects.suspects_val = suspects;
 }
 
 void
-SasMesh_TellSuspect(struct sas_mesh *mesh,
-                    const struct sas_mesh_suspect_news *rows, int count,
-                    bool to_all)
+SasMesh_ReportPoison(struct sas_mesh *mesh,
+                     const struct sas_mesh_poison_update *rows, int count,
+                     bool to_all)
 {
     if (count == 0) {
         return;
@@ -283,7 +291,7 @@
     fill_suspects(&message, suspects, rows, count);
     int first =
         SasMesh_FindFirst(mesh, rows[0].fingerprint.low, SasModel_NONE);
-    send_by_way_of(mesh, &message, first, to_all);
+    send_via(mesh, &message, first, to_all);
 }
 
 void
@@ -310,28 +318,30 @@
 /* Datagrams. */
 
 static sas_mesh_news
-encode_news(const struct sas_mesh *mesh, const struct sas_member_news *news)
+encode_update(const struct sas_mesh *mesh,
+              const struct sas_member_news *update)
 {
     sas_mesh_news row = {
-        .name_hash = SasMesh_GetVm(mesh, news->seat)->name_hash,
-        .incarnation = news->incarnation,
-        .config_version = news->config_version,
-        .heartbeat = news->heartbeat,
-        .doubt = news->doubt,
-        .age_ms = (u_int)news->age_ms,
-        .leaving = news->leaving,
+        .name_hash = SasMesh_GetVm(mesh, update->seat)->name_hash,
+        .incarnation = update->incarnation,
+        .config_version = update->config_version,
+        .heartbeat = update->heartbeat,
+        .doubt = update->doubt,
+        .age_ms = (u_int)update->age_ms,
+        .leaving = update->leaving,
     };
     return row;
 }
 
 static void
-fill_news(struct sas_mesh *mesh, sas_mesh_news *news, int max, u_int *count)
+fill_updates(struct sas_mesh *mesh, sas_mesh_news *updates, int max,
+             u_int *count)
 {
     struct sas_member_news digest[SAS_MESH_MAX_NEWS];
     int filled = SasMembership_FillDigest(&mesh->table, mesh->random,
                                           SasMesh_Now(mesh), digest, max);
     for (int i = 0; i < filled; i++) {
-        news[i] = encode_news(mesh, &digest[i]);
+        updates[i] = encode_update(mesh, &digest[i]);
     }
     *count = (u_int)filled;
 }
@@ -365,10 +375,10 @@
         return 0;
     }
     size -= (unsigned)sizeof(mac);
-    bool known = SasProto_Sign(mesh->key, &no_session, (const uint8_t *)bytes,
-                               size, mac) &&
-                 CRYPTO_memcmp(mac, bytes + size, sizeof(mac)) == 0;
-    return known ? size : 0;
+    bool authentic = SasProto_Sign(mesh->key, &no_session,
+                                   (const uint8_t *)bytes, size, mac) &&
+                     CRYPTO_memcmp(mac, bytes + size, sizeof(mac)) == 0;
+    return authentic ? size : 0;
 }
 
 /* One that was recorded could be sent again: that a server has tripped, or
@@ -404,7 +414,7 @@
     message->sender.caller_port = (u_int)own->caller.port;
     message->sender.peer_port = (u_int)own->peer.port;
     message->sender.incarnation = own->incarnation;
-    message->sender.strength = (u_int)own->strength;
+    message->sender.strength = (u_int)own->capacity;
     message->sender.sheet_version = (u_quad_t)mesh->sheet_version;
     message->sender.changes.changes_len = count_changes(mesh);
     message->sender.changes.changes_val = (u_quad_t *)mesh->changes;
@@ -433,15 +443,15 @@
 }
 
 void
-SasMesh_SendNews(struct sas_mesh *mesh, const struct vm *vm, int max,
-                 bool wants_reply)
+SasMesh_SendUpdates(struct sas_mesh *mesh, const struct vm *vm, int max,
+                    bool wants_reply)
 {
-    sas_mesh_news news[SAS_MESH_MAX_NEWS];
+    sas_mesh_news updates[SAS_MESH_MAX_NEWS];
     sas_mesh_message message = {
         .wants_reply = wants_reply,
-        .news = {.news_val = news},
+        .news = {.news_val = updates},
     };
-    fill_news(mesh, news, max, &message.news.news_len);
+    fill_updates(mesh, updates, max, &message.news.news_len);
     send_message(mesh, vm, &message);
 }
 
@@ -457,17 +467,17 @@
 /* Tells everybody of one entry VM, at once: the usual messages hold a part of
  * what is known, and a change goes into some of them only. */
 static void
-tell_of(struct sas_mesh *mesh, int about)
+broadcast_member(struct sas_mesh *mesh, int member_id)
 {
-    struct sas_member_news news;
-    SasMembership_GetNews(&mesh->table, about, SasMesh_Now(mesh), &news);
-    sas_mesh_news row = encode_news(mesh, &news);
+    struct sas_member_news update;
+    SasMembership_GetNews(&mesh->table, member_id, SasMesh_Now(mesh), &update);
+    sas_mesh_news row = encode_update(mesh, &update);
     sas_mesh_message message = {
         .news = {.news_len = 1, .news_val = &row},
     };
     /* To itself as well: it may live, and refutes what it hears. */
-    for (int seat = OWN_SEAT + 1; seat < (int)mesh->vms->len; seat++) {
-        send_message(mesh, SasMesh_GetVm(mesh, seat), &message);
+    for (int to = OWN_ID + 1; to < (int)mesh->vms->len; to++) {
+        send_message(mesh, SasMesh_GetVm(mesh, to), &message);
     }
 }
 
@@ -500,55 +510,55 @@
     if (incarnation == 0) {
         return;
     }
-    struct vm *own = SasMesh_GetVm(mesh, OWN_SEAT);
+    struct vm *own = SasMesh_GetVm(mesh, OWN_ID);
     SasLog_Write(SasLog_WARN, "mesh.renew", own->facts.name,
                  "an earlier process of this entry VM looks newer: "
                  "incarnation=%" G_GUINT64_FORMAT " was=%" G_GUINT64_FORMAT,
                  incarnation, own->facts.incarnation);
     own->facts.incarnation = incarnation;
-    SasMesh_TellAll(mesh);
+    SasMesh_Broadcast(mesh);
 }
 
 static void
-tell_user(struct sas_mesh *mesh, const sas_mesh_message *message)
+notify_listener(struct sas_mesh *mesh, const sas_mesh_message *message)
 {
     for (u_int i = 0; i < message->trips.trips_len; i++) {
         const sas_mesh_trip *trip = &message->trips.trips_val[i];
-        struct sas_mesh_trip_news news = {
+        struct sas_mesh_ejection ejection = {
             .server_hash = trip->server_hash,
             .left_ms = trip->left_ms,
             .restarted = trip->restarted,
-            .grey = trip->grey,
+            .grey_failure = trip->grey,
         };
-        mesh->user->on_trip(mesh->user, &news);
+        mesh->listener->on_ejection(mesh->listener, &ejection);
     }
     for (u_int i = 0; i < message->suspects.suspects_len; i++) {
         const sas_mesh_suspect *row = &message->suspects.suspects_val[i];
-        struct sas_mesh_suspect_news news = {
+        struct sas_mesh_poison_update update = {
             .fingerprint = {row->high, row->low},
             .crash = row->crash,
-            .alone = row->alone,
-            .survived = row->survived,
+            .isolated = row->alone,
+            .completed = row->survived,
         };
-        mesh->user->on_suspect(mesh->user, &news);
+        mesh->listener->on_poison_update(mesh->listener, &update);
     }
     for (u_int i = 0; i < message->losses.losses_len; i++) {
         const sas_mesh_loss *row = &message->losses.losses_val[i];
-        struct sas_mesh_loss_news news = {
+        struct sas_mesh_failure_report report = {
             .server_hash = row->server_hash,
-            .failed = (int)MIN(row->failed, MAX_LOSSES),
-            .answered = (int)MIN(row->answered, MAX_LOSSES),
+            .failed = (int)MIN(row->failed, MAX_REPORTED),
+            .answered = (int)MIN(row->answered, MAX_REPORTED),
         };
-        mesh->user->on_loss(mesh->user, &news);
+        mesh->listener->on_failure_report(mesh->listener, &report);
     }
 }
 
 static void
-take_row(struct sas_mesh *mesh, const sas_mesh_news *row)
+apply_update(struct sas_mesh *mesh, const sas_mesh_news *row)
 {
     int64_t now_ms = SasMesh_Now(mesh);
-    struct sas_member_news news = {
-        .seat = SasMesh_FindSeat(mesh, row->name_hash),
+    struct sas_member_news update = {
+        .seat = SasMesh_FindMember(mesh, row->name_hash),
         .leaving = row->leaving,
         .incarnation = row->incarnation,
         .config_version = row->config_version,
@@ -556,49 +566,50 @@
         .doubt = row->doubt,
         .age_ms = row->age_ms,
     };
-    if (news.seat == SasModel_NONE) {
+    if (update.seat == SasModel_NONE) {
         return;
     }
-    if (news.seat != OWN_SEAT &&
-        now_ms - mesh->table.members[news.seat].direct_ms < HEARD_MS) {
-        news.doubt = 0;
+    if (update.seat != OWN_ID &&
+        now_ms - mesh->table.members[update.seat].direct_ms <
+            RECENT_CONTACT_MS) {
+        update.doubt = 0;
     }
-    int changes = SasMembership_Merge(&mesh->table, &news, now_ms);
-    bool refuted = news.seat == OWN_SEAT && (changes & SAS_CHANGE_MEMBER) != 0;
+    int changes = SasMembership_Merge(&mesh->table, &update, now_ms);
+    bool refuted = update.seat == OWN_ID && (changes & SAS_CHANGE_MEMBER) != 0;
     if (refuted) {
         SasLog_Write(SasLog_INFO, "mesh.refute", "",
                      "another entry VM had no reply from this one");
-        tell_of(mesh, OWN_SEAT);
+        broadcast_member(mesh, OWN_ID);
     }
 }
 
 static void
-take_news(struct sas_mesh *mesh, const sas_mesh_message *message)
+apply_updates(struct sas_mesh *mesh, const sas_mesh_message *message)
 {
     for (u_int i = 0; i < message->news.news_len; i++) {
-        take_row(mesh, &message->news.news_val[i]);
+        apply_update(mesh, &message->news.news_val[i]);
     }
 }
 
 static void
-take_changes(const struct sas_mesh *mesh, const sas_mesh_vm *sender,
-             const struct sas_address *teller)
+apply_changes(const struct sas_mesh *mesh, const sas_mesh_vm *sender,
+              const struct sas_address *announcer)
 {
-    if (mesh->table_user == NULL) {
+    if (mesh->table_listener == NULL) {
         return;
     }
     for (u_int i = 0; i < sender->changes.changes_len; i++) {
         int64_t version = (int64_t)sender->changes.changes_val[i];
         if (version > 0) {
-            mesh->table_user->on_change(mesh->table_user, (int)i, version,
-                                        teller);
+            mesh->table_listener->on_change(mesh->table_listener, (int)i,
+                                            version, announcer);
         }
     }
 }
 
 /* The records of a message are all of one request. */
 static void
-take_records(const struct sas_mesh *mesh, const sas_mesh_trailer *trailer)
+apply_records(const struct sas_mesh *mesh, const sas_mesh_trailer *trailer)
 {
     int count = (int)MIN(trailer->records.records_len,
                          (u_int)SasQuarantine_MAX_CRASHES);
@@ -616,75 +627,78 @@
         entry.crashes[i].alone = rows[i].alone;
         entry.crashes[i].cleared = rows[i].cleared;
     }
-    mesh->user->on_record(mesh->user, &entry);
+    mesh->listener->on_record(mesh->listener, &entry);
 }
 
 static bool
-is_greeting(const sas_mesh_message *message)
+is_join(const sas_mesh_message *message)
 {
-    return message->news.news_len <= OWN_NEWS;
+    return message->news.news_len <= JOIN_UPDATES;
 }
 
 /* Who differs is told until it doesn't: whoever should have told it may have
  * been away itself, and a datagram is lost now and then. */
 static void
-compare_records(struct sas_mesh *mesh, int seat,
+compare_records(struct sas_mesh *mesh, int member_id,
                 const sas_mesh_message *message,
                 const sas_mesh_trailer *trailer)
 {
-    struct vm *vm = SasMesh_GetVm(mesh, seat);
+    struct vm *vm = SasMesh_GetVm(mesh, member_id);
     int64_t now_ms = SasMesh_Now(mesh);
-    bool told_lately =
-        vm->differed_at > 0 && now_ms - vm->differed_at < DIFFER_EVERY_MS;
-    if (trailer->records_digest == mesh->records_digest || told_lately) {
+    bool sent_recently =
+        vm->mismatch_at > 0 && now_ms - vm->mismatch_at < RECORDS_INTERVAL_MS;
+    if (trailer->records_digest == mesh->records_digest || sent_recently) {
         return;
     }
-    if (is_greeting(message) &&
-        g_rand_int_range(mesh->random, 0, (gint32)mesh->vms->len) >= TELLERS) {
+    if (is_join(message) &&
+        g_rand_int_range(mesh->random, 0, (gint32)mesh->vms->len) >=
+            JOIN_RECORD_SENDERS) {
         return;
     }
-    vm->differed_at = now_ms;
-    mesh->user->on_differ(mesh->user, seat);
+    vm->mismatch_at = now_ms;
+    mesh->listener->on_digest_mismatch(mesh->listener, member_id);
 }
 
 static void
-take_message(struct sas_mesh *mesh, const sas_mesh_message *message,
-             const sas_mesh_trailer *trailer)
+apply_message(struct sas_mesh *mesh, const sas_mesh_message *message,
+              const sas_mesh_trailer *trailer)
 {
     struct sas_mesh_facts facts = {
         .caller.port = (int)message->sender.caller_port,
         .peer.port = (int)message->sender.peer_port,
         .incarnation = message->sender.incarnation,
-        .strength = message->sender.strength,
+        .capacity = message->sender.strength,
     };
     g_strlcpy(facts.name, message->sender.name, sizeof(facts.name));
     g_strlcpy(facts.zone, message->sender.zone, sizeof(facts.zone));
     g_strlcpy(facts.caller.ip, message->sender.ip, sizeof(facts.caller.ip));
     g_strlcpy(facts.peer.ip, message->sender.ip, sizeof(facts.peer.ip));
-    int seat = SasMesh_LearnVm(mesh, &facts);
-    if (seat == SasModel_NONE || seat == OWN_SEAT) {
+    int member_id = SasMesh_LearnVm(mesh, &facts);
+    if (member_id == SasModel_NONE || member_id == OWN_ID) {
         return;
     }
     mesh->sheet_version =
         MAX(mesh->sheet_version, (int64_t)message->sender.sheet_version);
-    take_news(mesh, message);
-    if (facts.incarnation < SasMesh_GetVm(mesh, seat)->facts.incarnation) {
-        correct_sender(mesh, &facts, SasMesh_GetVm(mesh, seat));
+    apply_updates(mesh, message);
+    if (facts.incarnation <
+        SasMesh_GetVm(mesh, member_id)->facts.incarnation) {
+        correct_sender(mesh, &facts, SasMesh_GetVm(mesh, member_id));
     }
     renew_own(mesh);
-    SasExchange_End(&mesh->exchanges, seat);
-    SasMembership_NoteDirect(&mesh->table, seat, facts.incarnation,
+    SasExchange_End(&mesh->pings, member_id);
+    SasMembership_NoteDirect(&mesh->table, member_id, facts.incarnation,
                              SasMesh_Now(mesh));
-    tell_user(mesh, message);
-    take_changes(mesh, &message->sender, &facts.peer);
-    take_records(mesh, trailer);
-    compare_records(mesh, seat, message, trailer);
-    if (message->wants_reply && is_greeting(message)) {
-        SasMesh_SendNews(mesh, SasMesh_GetVm(mesh, seat), OWN_NEWS, false);
+    notify_listener(mesh, message);
+    apply_changes(mesh, &message->sender, &facts.peer);
+    apply_records(mesh, trailer);
+    compare_records(mesh, member_id, message, trailer);
+    if (message->wants_reply && is_join(message)) {
+        SasMesh_SendUpdates(mesh, SasMesh_GetVm(mesh, member_id), JOIN_UPDATES,
+                            false);
     }
     else if (message->wants_reply) {
-        SasMesh_SendNews(mesh, SasMesh_GetVm(mesh, seat), SAS_MESH_MAX_NEWS,
-                         false);
+        SasMesh_SendUpdates(mesh, SasMesh_GetVm(mesh, member_id),
+                            SAS_MESH_MAX_NEWS, false);
     }
 }
 
@@ -723,7 +737,7 @@
                      "a datagram was sent too long ago, or a clock is wrong");
     }
     else if (decoded && message.format == SAS_MESH_FORMAT) {
-        take_message(mesh, &message, &trailer);
+        apply_message(mesh, &message, &trailer);
     }
     else {
         SasLog_Write(SasLog_WARN, "mesh.decode", "",
--- a/packages/gateway/src/mesh_lookup.c
+++ b/packages/gateway/src/mesh_lookup.c
@@ -1,12 +1,12 @@
 /* Which entry VMs a look-up names. */
-#include "mesh_seats.h"
+#include "mesh_internal.h"
 
 #include "sas/log.h"
 #include "sas/strength.h"
 
 /* An entry VM that was heard of so lately is part of what its zone usually
  * has: one that restarts or was killed, not one that was taken away. */
-#define USUAL_MS 600000
+#define RECENT_MEMBER_MS 600000
 
 /* How far callers are sent. */
 enum scope {
@@ -23,72 +23,76 @@
 };
 
 static bool
-is_within(const struct sas_mesh *mesh, int seat, const struct place *place)
+is_within(const struct sas_mesh *mesh, int member_id,
+          const struct place *place)
 {
     if (place->zone != SasModel_NONE) {
-        return SasMesh_GetVm(mesh, seat)->zone == place->zone;
+        return SasMesh_GetVm(mesh, member_id)->zone == place->zone;
     }
     return place->region == SasModel_NONE ||
-           SasMesh_GetRegion(mesh, seat) == place->region;
+           SasMesh_GetRegion(mesh, member_id) == place->region;
 }
 
 static bool
-is_usual(const struct sas_mesh *mesh, int seat)
+was_seen_recently(const struct sas_mesh *mesh, int member_id)
 {
-    return SasMembership_GetAge(&mesh->table, seat, SasMesh_Now(mesh)) <=
-           USUAL_MS;
+    return SasMembership_GetAge(&mesh->table, member_id, SasMesh_Now(mesh)) <=
+           RECENT_MEMBER_MS;
 }
 
 static bool
-may_name(const struct sas_mesh *mesh, int seat)
+is_eligible(const struct sas_mesh *mesh, int member_id)
 {
-    return !SasMesh_GetVm(mesh, seat)->withdrawn && SasMesh_IsLive(mesh, seat);
+    return !SasMesh_GetVm(mesh, member_id)->withdrawn &&
+           SasMesh_IsLive(mesh, member_id);
 }
 
 static int
-collect(const struct sas_mesh *mesh, const struct place *place,
-        struct sas_address *addresses, int max)
+fill_addresses(const struct sas_mesh *mesh, const struct place *place,
+               struct sas_address *addresses, int max)
 {
-    g_autoptr(GArray) seats = g_array_new(FALSE, FALSE, sizeof(int));
-    g_autoptr(GArray) strengths = g_array_new(FALSE, FALSE, sizeof(double));
-    for (int seat = 0; seat < (int)mesh->vms->len; seat++) {
-        if (is_within(mesh, seat, place) && may_name(mesh, seat)) {
-            g_array_append_val(seats, seat);
-            g_array_append_val(strengths,
-                               SasMesh_GetVm(mesh, seat)->facts.strength);
+    g_autoptr(GArray) member_ids = g_array_new(FALSE, FALSE, sizeof(int));
+    g_autoptr(GArray) capacities = g_array_new(FALSE, FALSE, sizeof(double));
+    for (int member_id = 0; member_id < (int)mesh->vms->len; member_id++) {
+        if (is_within(mesh, member_id, place) &&
+            is_eligible(mesh, member_id)) {
+            g_array_append_val(member_ids, member_id);
+            g_array_append_val(capacities,
+                               SasMesh_GetVm(mesh, member_id)->facts.capacity);
         }
     }
-    int picked[SasMesh_MAX_NAMED];
-    int count =
-        SasStrength_Pick((const double *)(void *)strengths->data,
-                         (int)seats->len, picked, MIN(max, SasMesh_MAX_NAMED));
+    int picked[SasMesh_MAX_ADDRESSES];
+    int count = SasStrength_Pick((const double *)(void *)capacities->data,
+                                 (int)member_ids->len, picked,
+                                 MIN(max, SasMesh_MAX_ADDRESSES));
     for (int i = 0; i < count; i++) {
-        int seat = g_array_index(seats, int, picked[i]);
-        addresses[i] = SasMesh_GetVm(mesh, seat)->facts.caller;
+        int member_id = g_array_index(member_ids, int, picked[i]);
+        addresses[i] = SasMesh_GetVm(mesh, member_id)->facts.caller;
     }
     return count;
 }
 
 /* What callers can be sent to there now, as a part of what it usually has. */
 static double
-get_part_left(const struct sas_mesh *mesh, const struct place *place)
+get_remaining_share(const struct sas_mesh *mesh, const struct place *place)
 {
-    double usual = 0;
-    double left = 0;
-    for (int seat = 0; seat < (int)mesh->vms->len; seat++) {
-        if (!is_within(mesh, seat, place) || !is_usual(mesh, seat)) {
+    double total = 0;
+    double remaining = 0;
+    for (int member_id = 0; member_id < (int)mesh->vms->len; member_id++) {
+        if (!is_within(mesh, member_id, place) ||
+            !was_seen_recently(mesh, member_id)) {
             continue;
         }
-        double strength = SasMesh_GetVm(mesh, seat)->facts.strength;
-        usual += strength;
-        left += may_name(mesh, seat) ? strength : 0;
+        double capacity = SasMesh_GetVm(mesh, member_id)->facts.capacity;
+        total += capacity;
+        remaining += is_eligible(mesh, member_id) ? capacity : 0;
     }
-    return usual > 0 ? left / usual : 0;
+    return total > 0 ? remaining / total : 0;
 }
 
 /* One decision a zone is logged, not one a look-up. */
 static void
-note_scope(struct sas_mesh *mesh, int zone, enum scope scope, double left)
+log_scope(struct sas_mesh *mesh, int zone, enum scope scope, double remaining)
 {
     static const char *const names[SCOPES] = {"zone", "region", "all"};
     if (mesh->lookup_scopes[zone] == scope) {
@@ -97,22 +101,22 @@
     mesh->lookup_scopes[zone] = scope;
     SasLog_WriteFields(SasLog_INFO, "lookup.scope",
                        SasFleet_GetZone(mesh->fleet, zone)->name, "{s:s, s:f}",
-                       "named", names[scope], "part_of_zone_left", left);
+                       "named", names[scope], "part_of_zone_left", remaining);
 }
 
 /* The nearest of which enough is left for its callers, or else the one of
  * which most is left. */
 static enum scope
 pick_scope(const struct sas_mesh *mesh, const struct place *places,
-           double *left)
+           double *remaining)
 {
     enum scope best = ZONE;
     for (enum scope scope = ZONE; scope < SCOPES; scope++) {
-        left[scope] = get_part_left(mesh, &places[scope]);
-        if (left[scope] >= SasStrength_LEAST_LEFT) {
+        remaining[scope] = get_remaining_share(mesh, &places[scope]);
+        if (remaining[scope] >= SasStrength_LEAST_LEFT) {
             return scope;
         }
-        if (left[scope] > left[best]) {
+        if (remaining[scope] > remaining[best]) {
             best = scope;
         }
     }
@@ -120,8 +124,8 @@
 }
 
 int
-SasMesh_Find(struct sas_mesh *mesh, int zone, int region,
-             struct sas_address *addresses, int max)
+SasMesh_Lookup(struct sas_mesh *mesh, int zone, int region,
+               struct sas_address *addresses, int max)
 {
     if (zone != SasModel_NONE) {
         region = SasFleet_GetZone(mesh->fleet, zone)->region;
@@ -131,10 +135,10 @@
         [REGION] = {SasModel_NONE, region},
         [ALL] = {SasModel_NONE, SasModel_NONE},
     };
-    double left[SCOPES];
-    enum scope scope = pick_scope(mesh, places, left);
+    double remaining[SCOPES];
+    enum scope scope = pick_scope(mesh, places, remaining);
     if (zone != SasModel_NONE) {
-        note_scope(mesh, zone, scope, left[ZONE]);
+        log_scope(mesh, zone, scope, remaining[ZONE]);
     }
-    return collect(mesh, &places[scope], addresses, max);
+    return fill_addresses(mesh, &places[scope], addresses, max);
 }
--- a/packages/gateway/src/mesh_order.c
+++ b/packages/gateway/src/mesh_ranking.c
@@ -1,12 +1,13 @@
 /* Orders in which entry VMs stand for something that has a hash. */
-#include "mesh_seats.h"
+#include "mesh_internal.h"
 
 #include <xxhash.h>
 
 static uint64_t
-score_vm(const struct sas_mesh *mesh, uint64_t server_hash, int seat)
+score_vm(const struct sas_mesh *mesh, uint64_t server_hash, int member_id)
 {
-    uint64_t words[2] = {server_hash, SasMesh_GetVm(mesh, seat)->name_hash};
+    uint64_t words[2] = {server_hash,
+                         SasMesh_GetVm(mesh, member_id)->name_hash};
     return XXH3_64bits(words, sizeof(words));
 }
 
@@ -18,15 +19,15 @@
 #define JOIN_MS 2000
 
 static bool
-may_send(const struct sas_mesh *mesh, int seat)
+may_send(const struct sas_mesh *mesh, int member_id)
 {
     int64_t now_ms = SasMesh_Now(mesh);
     enum sas_member_state state =
-        SasMembership_GetState(&mesh->table, seat, now_ms);
+        SasMembership_GetState(&mesh->table, member_id, now_ms);
     bool reserved =
-        state == SAS_MEMBER_GONE && !mesh->table.members[seat].leaving &&
-        SasMembership_GetAge(&mesh->table, seat, now_ms) < RESERVED_MS;
-    return seat == OWN_SEAT || state == SAS_MEMBER_LIVE ||
+        state == SAS_MEMBER_GONE && !mesh->table.members[member_id].leaving &&
+        SasMembership_GetAge(&mesh->table, member_id, now_ms) < RESERVED_MS;
+    return member_id == OWN_ID || state == SAS_MEMBER_LIVE ||
            state == SAS_MEMBER_LEAVING || state == SAS_MEMBER_SUSPECT ||
            reserved;
 }
@@ -36,15 +37,16 @@
                    int region)
 {
     struct sas_mesh_senders senders = {
-        .joined = SasMesh_Now(mesh) - mesh->woke_at >= JOIN_MS,
+        .has_share = SasMesh_Now(mesh) - mesh->resumed_at >= JOIN_MS,
     };
-    uint64_t own = score_vm(mesh, server_hash, OWN_SEAT);
-    for (int seat = 0; seat < (int)mesh->vms->len; seat++) {
-        if (SasMesh_GetRegion(mesh, seat) != region || !may_send(mesh, seat)) {
+    uint64_t own = score_vm(mesh, server_hash, OWN_ID);
+    for (int member_id = 0; member_id < (int)mesh->vms->len; member_id++) {
+        if (SasMesh_GetRegion(mesh, member_id) != region ||
+            !may_send(mesh, member_id)) {
             continue;
         }
         senders.count++;
-        senders.rank += score_vm(mesh, server_hash, seat) > own ? 1 : 0;
+        senders.rank += score_vm(mesh, server_hash, member_id) > own ? 1 : 0;
     }
     return senders;
 }
@@ -55,15 +57,16 @@
 SasMesh_FindFirst(const struct sas_mesh *mesh, uint64_t hash, int region)
 {
     int first = SasModel_NONE;
-    for (int seat = OWN_SEAT; seat < (int)mesh->vms->len; seat++) {
-        bool counts =
-            region == SasModel_NONE || SasMesh_GetRegion(mesh, seat) == region;
-        if (!counts || !SasMesh_IsLive(mesh, seat)) {
+    for (int member_id = OWN_ID; member_id < (int)mesh->vms->len;
+         member_id++) {
+        bool counts = region == SasModel_NONE ||
+                      SasMesh_GetRegion(mesh, member_id) == region;
+        if (!counts || !SasMesh_IsLive(mesh, member_id)) {
             continue;
         }
         if (first == SasModel_NONE ||
-            score_vm(mesh, hash, seat) > score_vm(mesh, hash, first)) {
-            first = seat;
+            score_vm(mesh, hash, member_id) > score_vm(mesh, hash, first)) {
+            first = member_id;
         }
     }
     return first;
@@ -72,21 +75,21 @@
 bool
 SasMesh_IsFirst(const struct sas_mesh *mesh, uint64_t hash)
 {
-    return SasMesh_FindFirst(mesh, hash, SasModel_NONE) == OWN_SEAT;
+    return SasMesh_FindFirst(mesh, hash, SasModel_NONE) == OWN_ID;
 }
 
 bool
-SasMesh_IsTester(const struct sas_mesh *mesh, uint64_t server_hash, int region)
+SasMesh_IsProber(const struct sas_mesh *mesh, uint64_t server_hash, int region)
 {
     int first = SasMesh_FindFirst(mesh, server_hash, region);
-    return first == OWN_SEAT || first == SasModel_NONE;
+    return first == OWN_ID || first == SasModel_NONE;
 }
 
 static bool
 leads_before(const struct vm *one, const struct vm *other)
 {
-    if (one->facts.strength != other->facts.strength) {
-        return one->facts.strength > other->facts.strength;
+    if (one->facts.capacity != other->facts.capacity) {
+        return one->facts.capacity > other->facts.capacity;
     }
     return one->name_hash < other->name_hash;
 }
@@ -95,13 +98,14 @@
 SasMesh_FindZoneLeader(const struct sas_mesh *mesh, int zone)
 {
     int leader = SasModel_NONE;
-    for (int seat = OWN_SEAT; seat < (int)mesh->vms->len; seat++) {
-        const struct vm *vm = SasMesh_GetVm(mesh, seat);
+    for (int member_id = OWN_ID; member_id < (int)mesh->vms->len;
+         member_id++) {
+        const struct vm *vm = SasMesh_GetVm(mesh, member_id);
         if (vm->zone == zone &&
             (leader == SasModel_NONE ||
              leads_before(vm, SasMesh_GetVm(mesh, leader))) &&
-            (seat == OWN_SEAT || SasMesh_IsLive(mesh, seat))) {
-            leader = seat;
+            (member_id == OWN_ID || SasMesh_IsLive(mesh, member_id))) {
+            leader = member_id;
         }
     }
     return leader;
@@ -112,20 +116,21 @@
 {
     int leader = SasMesh_FindZoneLeader(mesh, SasMesh_GetOwnZone(mesh));
     *peer = SasMesh_GetVm(mesh, leader)->facts.peer;
-    return leader != OWN_SEAT;
+    return leader != OWN_ID;
 }
 
 bool
 SasMesh_PickPeer(struct sas_mesh *mesh, struct sas_address *peer)
 {
     int live = 0;
-    for (int seat = OWN_SEAT + 1; seat < (int)mesh->vms->len; seat++) {
-        if (!SasMesh_IsLive(mesh, seat)) {
+    for (int member_id = OWN_ID + 1; member_id < (int)mesh->vms->len;
+         member_id++) {
+        if (!SasMesh_IsLive(mesh, member_id)) {
             continue;
         }
         live++;
         if (g_rand_int_range(mesh->random, 0, live) == 0) {
-            *peer = SasMesh_GetVm(mesh, seat)->facts.peer;
+            *peer = SasMesh_GetVm(mesh, member_id)->facts.peer;
         }
     }
     return live > 0;
--- a/packages/gateway/src/suspects.h
+++ b/packages/gateway/src/poison_requests.h
@@ -20,8 +20,8 @@
  * each message between entry VMs, and who knows other crashes is told, so that
  * it reaches whoever starts, was frozen or missed a datagram, by anybody.
  */
-#ifndef SAS_SUSPECTS_H
-#define SAS_SUSPECTS_H
+#ifndef SAS_POISON_REQUESTS_H
+#define SAS_POISON_REQUESTS_H
 
 #include "mesh.h"
 #include "pool.h"
@@ -29,44 +29,46 @@
 #include "sas/metrics.h"
 #include "sas/quarantine.h"
 
-struct sas_suspects;
+struct sas_poison_requests;
 
-struct sas_suspects *SasSuspects_New(uv_loop_t *loop, struct sas_fleet *fleet,
-                                     struct sas_pool *pool,
-                                     struct sas_mesh *mesh,
-                                     struct sas_metrics *metrics);
-void SasSuspects_Free(struct sas_suspects *suspects);
+struct sas_poison_requests *SasPoisonRequests_New(uv_loop_t *loop,
+                                                  struct sas_fleet *fleet,
+                                                  struct sas_pool *pool,
+                                                  struct sas_mesh *mesh,
+                                                  struct sas_metrics *metrics);
+void SasPoisonRequests_Free(struct sas_poison_requests *poison);
 
 /* False as long as no request is suspected, which is nearly always: then
  * nobody needs a fingerprint. */
-bool SasSuspects_Any(const struct sas_suspects *suspects);
+bool SasPoisonRequests_HasAny(const struct sas_poison_requests *poison);
 
 /* How the request may be sent: SAS_QUARANTINE_ALLOW, _ALONE (to a server
  * without other requests) or _REFUSE. */
 enum sas_quarantine_verdict
-SasSuspects_Check(struct sas_suspects *suspects,
-                  struct sas_fingerprint fingerprint);
+SasPoisonRequests_Check(struct sas_poison_requests *poison,
+                        struct sas_fingerprint fingerprint);
 
 /* Its connection broke while it may have run on the server at the slot;
  * alone: nothing else was known to run there. */
-void SasSuspects_NoteLost(struct sas_suspects *suspects,
-                          struct sas_fingerprint fingerprint, int slot,
-                          bool alone);
+void SasPoisonRequests_NoteLost(struct sas_poison_requests *poison,
+                                struct sas_fingerprint fingerprint, int slot,
+                                bool isolated);
 
 /* It ran to a whole answer. */
-void SasSuspects_NoteSurvived(struct sas_suspects *suspects,
-                              struct sas_fingerprint fingerprint);
+void SasPoisonRequests_NoteCompleted(struct sas_poison_requests *poison,
+                                     struct sas_fingerprint fingerprint);
 
 /* What another entry VM says of a request: that it was in a crash or ran to
  * its end, or all that it knows. */
-void SasSuspects_TakeNews(struct sas_suspects *suspects,
-                          const struct sas_mesh_suspect_news *news);
-void SasSuspects_TakeRecord(struct sas_suspects *suspects,
-                            const struct sas_quarantine_entry *entry);
+void
+SasPoisonRequests_ApplyUpdate(struct sas_poison_requests *poison,
+                              const struct sas_mesh_poison_update *update);
+void SasPoisonRequests_ApplyRecord(struct sas_poison_requests *poison,
+                                   const struct sas_quarantine_entry *entry);
 
 /* Entry VM number i knows other requests, or other crashes of them: it is told
  * of all that run alone or nowhere. One that has just started would otherwise
  * send them as if nothing had been. */
-void SasSuspects_TellRecords(struct sas_suspects *suspects, int i);
+void SasPoisonRequests_SendRecords(struct sas_poison_requests *poison, int i);
 
 #endif
--- a/packages/gateway/src/pool.c
+++ b/packages/gateway/src/pool.c
@@ -9,10 +9,10 @@
     struct sas_server_ref server;
     bool idle;
     int64_t idle_since;
-    int64_t idle_ms;
-    int64_t rest_ms;              /* when it was taken last */
-    struct sas_pool_check *check; /* waits for the connection; NULL: none */
-    int64_t checked_at;           /* when it was opened; 0: not yet */
+    int64_t idle_limit_ms;
+    int64_t was_idle_ms;          /* when it was taken last */
+    struct sas_pool_probe *probe; /* waits for the connection; NULL: none */
+    int64_t opened_at;            /* when it was opened; 0: not yet */
 };
 
 struct sas_pool {
@@ -29,10 +29,10 @@
     struct sas_pooled *pooled = (struct sas_pooled *)owner;
     GPtrArray *list = pooled->pool->by_slot->pdata[pooled->server.slot];
     g_ptr_array_remove(list, pooled);
-    struct sas_pool_check *check = pooled->check;
+    struct sas_pool_probe *probe = pooled->probe;
     g_free(pooled);
-    if (check != NULL) {
-        check->on_checked(check, false);
+    if (probe != NULL) {
+        probe->on_probed(probe, false);
     }
 }
 
@@ -43,16 +43,16 @@
 {
     (void)conn;
     struct sas_pooled *pooled = (struct sas_pooled *)owner;
-    pooled->checked_at = (int64_t)uv_now(pooled->pool->loop);
+    pooled->opened_at = (int64_t)uv_now(pooled->pool->loop);
 }
 
 static void
-end_check(struct sas_pooled *pooled)
+end_probe(struct sas_pooled *pooled)
 {
-    struct sas_pool_check *check = pooled->check;
-    pooled->check = NULL;
-    SasPool_Give(pooled, 0);
-    check->on_checked(check, true);
+    struct sas_pool_probe *probe = pooled->probe;
+    pooled->probe = NULL;
+    SasPool_Release(pooled, 0);
+    probe->on_probed(probe, true);
 }
 
 /* Connections with a request on them stay: a leaving server still answers
@@ -98,7 +98,7 @@
         GPtrArray *list = pool->by_slot->pdata[slot];
         while (list->len > 0) {
             struct sas_pooled *pooled = list->pdata[list->len - 1];
-            pooled->check = NULL;
+            pooled->probe = NULL;
             SasHttp_Close(pooled->conn);
         }
     }
@@ -108,13 +108,13 @@
 
 static struct sas_pooled *
 find_idle(GPtrArray *list, struct sas_server_ref server, int64_t now_ms,
-          int64_t max_rest_ms)
+          int64_t max_idle_ms)
 {
     /* The one used last: the others grow old and are closed. */
     for (guint i = list->len; i > 0; i--) {
         struct sas_pooled *pooled = list->pdata[i - 1];
         if (pooled->idle && pooled->server.generation == server.generation &&
-            now_ms - pooled->idle_since <= max_rest_ms &&
+            now_ms - pooled->idle_since <= max_idle_ms &&
             SasHttp_IsIdle(pooled->conn)) {
             g_ptr_array_remove_index(list, i - 1);
             return pooled;
@@ -147,14 +147,14 @@
 }
 
 struct sas_pooled *
-SasPool_Take(struct sas_pool *pool, int slot, int64_t max_rest_ms)
+SasPool_Acquire(struct sas_pool *pool, int slot, int64_t max_idle_ms)
 {
     GPtrArray *list = get_list(pool, slot);
     struct sas_server_ref server = SasFleet_GetRef(pool->fleet, slot);
     int64_t now_ms = (int64_t)uv_now(pool->loop);
-    struct sas_pooled *pooled = find_idle(list, server, now_ms, max_rest_ms);
+    struct sas_pooled *pooled = find_idle(list, server, now_ms, max_idle_ms);
     if (pooled != NULL) {
-        pooled->rest_ms = now_ms - pooled->idle_since;
+        pooled->was_idle_ms = now_ms - pooled->idle_since;
     }
     else {
         pooled = open_new(pool, slot);
@@ -165,17 +165,17 @@
 }
 
 void
-SasPool_Check(struct sas_pool *pool, int slot, struct sas_pool_check *check)
+SasPool_Probe(struct sas_pool *pool, int slot, struct sas_pool_probe *probe)
 {
     struct sas_pooled *pooled = open_new(pool, slot);
-    pooled->check = check;
+    pooled->probe = probe;
     g_ptr_array_add(get_list(pool, slot), pooled);
 }
 
 int64_t
-SasPool_GetRest(const struct sas_pooled *pooled)
+SasPool_GetIdleMs(const struct sas_pooled *pooled)
 {
-    return pooled->rest_ms;
+    return pooled->was_idle_ms;
 }
 
 struct sas_http_conn *
@@ -185,7 +185,7 @@
 }
 
 void
-SasPool_Give(struct sas_pooled *pooled, int64_t idle_ms)
+SasPool_Release(struct sas_pooled *pooled, int64_t idle_limit_ms)
 {
     struct sas_pool *pool = pooled->pool;
     if (SasFleet_GetServer(pool->fleet, pooled->server) == NULL) {
@@ -195,12 +195,13 @@
     pooled->idle = true;
     pooled->idle_since = (int64_t)uv_now(pool->loop);
     /* A fifth less than the server says: its clock began before ours. */
-    pooled->idle_ms =
-        idle_ms > 0 ? MIN(idle_ms * 4 / 5, SasPool_IDLE_MS) : SasPool_IDLE_MS;
+    pooled->idle_limit_ms = idle_limit_ms > 0
+                                ? MIN(idle_limit_ms * 4 / 5, SasPool_IDLE_MS)
+                                : SasPool_IDLE_MS;
 }
 
 void
-SasPool_Drop(struct sas_pooled *pooled)
+SasPool_Discard(struct sas_pooled *pooled)
 {
     SasHttp_Close(pooled->conn);
 }
@@ -208,14 +209,14 @@
 static void
 sweep_one(struct sas_pooled *pooled, int64_t now_ms)
 {
-    if (pooled->check != NULL) {
-        if (pooled->checked_at > 0 &&
-            now_ms - pooled->checked_at >= SasPool_HOLDS_MS) {
-            end_check(pooled);
+    if (pooled->probe != NULL) {
+        if (pooled->opened_at > 0 &&
+            now_ms - pooled->opened_at >= SasPool_PROBE_HOLD_MS) {
+            end_probe(pooled);
         }
         return;
     }
-    if (pooled->idle && now_ms - pooled->idle_since >= pooled->idle_ms) {
+    if (pooled->idle && now_ms - pooled->idle_since >= pooled->idle_limit_ms) {
         SasHttp_Close(pooled->conn);
     }
 }
--- a/packages/gateway/src/pool.h
+++ b/packages/gateway/src/pool.h
@@ -29,35 +29,35 @@
 
 /* Rested for less than this a connection is taken for alive. The shortest
  * after which servers were seen to forget one without a word is 300 ms. */
-#define SasPool_FRESH_MS 250
+#define SasPool_TRUSTED_IDLE_MS 250
 
 /* A connection for one request to the server at the slot: one that has rested
  * for max_rest_ms at most, or a new one. */
-struct sas_pooled *SasPool_Take(struct sas_pool *pool, int slot,
-                                int64_t max_rest_ms);
+struct sas_pooled *SasPool_Acquire(struct sas_pool *pool, int slot,
+                                   int64_t max_idle_ms);
 
 /* For how long it had rested when it was taken; 0: it was new. */
-int64_t SasPool_GetRest(const struct sas_pooled *pooled);
+int64_t SasPool_GetIdleMs(const struct sas_pooled *pooled);
 struct sas_http_conn *SasPool_GetConn(const struct sas_pooled *pooled);
 
 /* After a whole answer; idle_ms is what the server said of idle connections,
  * 0 for nothing. */
-void SasPool_Give(struct sas_pooled *pooled, int64_t idle_ms);
+void SasPool_Release(struct sas_pooled *pooled, int64_t keep_alive_ms);
 
 /* Ends it with whatever runs on it. */
-void SasPool_Drop(struct sas_pooled *pooled);
+void SasPool_Discard(struct sas_pooled *pooled);
 
 /* A server takes connections if one is opened and stays open for so long. */
-#define SasPool_HOLDS_MS 200
+#define SasPool_PROBE_HOLD_MS 200
 
 /* Opens a connection to find out whether the server still takes one; it stays
  * in the pool. on_checked is called once, unless the pool is freed first. */
-struct sas_pool_check {
-    void (*on_checked)(struct sas_pool_check *check, bool takes_connections);
+struct sas_pool_probe {
+    void (*on_probed)(struct sas_pool_probe *probe, bool accepts_connections);
 };
 
-void SasPool_Check(struct sas_pool *pool, int slot,
-                   struct sas_pool_check *check);
+void SasPool_Probe(struct sas_pool *pool, int slot,
+                   struct sas_pool_probe *probe);
 
 /* Closes what has been idle for too long; call it every second or so. */
 void SasPool_Sweep(struct sas_pool *pool);
--- a/packages/gateway/src/relay.c
+++ b/packages/gateway/src/relay.c
@@ -32,10 +32,10 @@
     relay->handler.on_abandoned = on_abandoned;
     relay->handler.on_closed = on_closed;
     register_ends(relay);
-    relay->suspects =
-        SasSuspects_New(options->loop, options->fleet, options->pool,
-                        options->mesh, options->metrics);
-    SasRelay_Listen(relay);
+    relay->poison_requests =
+        SasPoisonRequests_New(options->loop, options->fleet, options->pool,
+                              options->mesh, options->metrics);
+    SasRelay_Subscribe(relay);
     relay->objects = SasObjects_New();
     relay->services = g_ptr_array_new_with_free_func(g_free);
     relay->slots = g_ptr_array_new_with_free_func(g_free);
@@ -47,7 +47,7 @@
 void
 SasRelay_Free(struct sas_relay *relay)
 {
-    SasSuspects_Free(relay->suspects);
+    SasPoisonRequests_Free(relay->poison_requests);
     SasObjects_Free(relay->objects);
     g_ptr_array_free(relay->services, TRUE);
     g_ptr_array_free(relay->slots, TRUE);
@@ -68,12 +68,12 @@
 }
 
 void
-SasRelay_GiveUp(struct sas_relay *relay)
+SasRelay_FailPending(struct sas_relay *relay)
 {
     while (!g_queue_is_empty(&relay->calls)) {
         struct relay_call *call = relay->calls.head->data;
         SasRelay_Cancel(call);
-        if (!SasRelay_DeliverKept(call)) {
+        if (!SasRelay_DeliverFallback(call)) {
             SasRelay_Fail(call, "given up", 502);
         }
     }
@@ -91,7 +91,7 @@
     const struct sas_entry_bounds *bounds = &relay->options.settings->bounds;
     while ((int)relay->services->len <= service) {
         struct service_state *state = g_new0(struct service_state, 1);
-        SasRepeat_Init(&state->repeats, bounds->retry_share,
+        SasRepeat_Init(&state->retries, bounds->retry_share,
                        bounds->retry_burst, bounds->retry_window_ms);
         g_ptr_array_add(relay->services, state);
     }
@@ -111,7 +111,7 @@
         memset(state, 0, sizeof(*state));
         state->generation = generation;
         SasWindow_Init(&state->cold_sends, 1000);
-        SasGrey_Init(&state->grey);
+        SasGrey_Init(&state->grey_failure);
     }
     return state;
 }
@@ -127,9 +127,9 @@
     SasFleetConfig_Unref(call->config);
     g_ptr_array_free(call->answer_headers, TRUE);
     g_string_free(call->answer_body, TRUE);
-    if (call->kept.status != 0) {
-        g_ptr_array_free(call->kept.headers, TRUE);
-        g_string_free(call->kept.body, TRUE);
+    if (call->fallback.status != 0) {
+        g_ptr_array_free(call->fallback.headers, TRUE);
+        g_string_free(call->fallback.body, TRUE);
     }
     g_free(call);
 }
@@ -158,7 +158,7 @@
         "took_ms", (int)(now_ms - call->began_at), "left_ms",
         routed ? (int)(call->deadline_at - now_ms) : 0, "server_load",
         call->load_when_sent, "load_age_ms", (json_int_t)call->load_age_ms,
-        "known", call->known, "wait_ms", (int)call->wait_ms, "work_ms",
+        "known", call->cached, "wait_ms", (int)call->wait_ms, "work_ms",
         (int)call->work_ms, "config",
         (json_int_t)(call->config != NULL ? call->config->version : 0),
         "config_age_ms",
@@ -233,7 +233,8 @@
     struct route_state *state = g_hash_table_lookup(routes, call->route->name);
     if (state == NULL) {
         state = g_new0(struct route_state, 1);
-        SasPace_Init(&state->pace, (double)call->route->target_latency_ms);
+        SasPace_Init(&state->service_time,
+                     (double)call->route->target_latency_ms);
         g_hash_table_insert(routes, g_strdup(call->route->name), state);
     }
     return state;
@@ -324,7 +325,7 @@
 {
     const struct sas_source *source = call->relay->options.source;
     if (source->is_behind != NULL && source->is_behind(source)) {
-        SasRelay_Refuse(call, "behind", SasRelay_ELSEWHERE_MS);
+        SasRelay_Refuse(call, "behind", SasRelay_RETRY_ELSEWHERE_MS);
         return;
     }
     SasRelay_Fail(call, "no route", 404);
@@ -351,12 +352,12 @@
     }
     call->deadline_at = get_deadline(call);
     if (!may_take(call)) {
-        SasRelay_Refuse(call, "stopping", SasRelay_ELSEWHERE_MS);
+        SasRelay_Refuse(call, "stopping", SasRelay_RETRY_ELSEWHERE_MS);
         return;
     }
     find_object(call);
     call->service = pick_service(call);
-    SasRepeat_NoteRequest(&SasRelay_GetService(relay, call->service)->repeats,
+    SasRepeat_NoteRequest(&SasRelay_GetService(relay, call->service)->retries,
                           SasRelay_Now(relay));
     SasRelay_Choose(call);
 }
@@ -367,7 +368,7 @@
 register_ends(struct sas_relay *relay)
 {
     for (int end = 0; end < SAS_HTTP_END_COUNT; end++) {
-        relay->ends[end] = SasMetrics_Register(
+        relay->end_counters[end] = SasMetrics_Register(
             relay->options.metrics, "sas_connections_ended_total", "by",
             SasHttp_GetEndName((enum sas_http_end)end),
             "Connections of callers by what ended them");
@@ -381,7 +382,8 @@
           const struct sas_http_leftover *leftover)
 {
     struct sas_relay *relay = (struct sas_relay *)handler;
-    SasMetrics_Add(relay->options.metrics, relay->ends[leftover->end], 1);
+    SasMetrics_Add(relay->options.metrics, relay->end_counters[leftover->end],
+                   1);
     if (leftover->end == SAS_HTTP_END_CALLER ||
         (leftover->unanswered == 0 && leftover->unsent_bytes == 0 &&
          leftover->unread_bytes == 0)) {
--- a/packages/gateway/src/relay.h
+++ b/packages/gateway/src/relay.h
@@ -49,6 +49,6 @@
 void SasRelay_Stop(struct sas_relay *relay, const struct sas_stop_plan *plan);
 
 /* Answers every request that has no answer yet: it may have run. */
-void SasRelay_GiveUp(struct sas_relay *relay);
+void SasRelay_FailPending(struct sas_relay *relay);
 
 #endif
--- a/packages/gateway/src/relay_attempt.c
+++ b/packages/gateway/src/relay_attempt.c
@@ -11,10 +11,10 @@
 #include "sas/log.h"
 
 /* The reset of a forgotten connection is back within a round trip. */
-#define FORGOTTEN_MS 100
+#define DROPPED_IDLE_RESET_MS 100
 
 /* How long rested connections are not trusted after one was found dead. */
-#define WARY_MS 30000
+#define AVOID_IDLE_MS 30000
 
 static void on_head(struct sas_http_user *user, int status,
                     const struct sas_http_header *headers, int header_count);
@@ -64,13 +64,14 @@
  * a connection only while none has been found dead lately: a new one costs a
  * round trip, 40 ms to another region. */
 static int64_t
-get_max_rest(const struct relay_call *call, int64_t now_ms)
+get_max_idle(const struct relay_call *call, int64_t now_ms)
 {
     const struct service_state *service =
         SasRelay_GetService(call->relay, call->service);
-    bool wary = now_ms < service->wary_until;
-    return wary && call->route->kind != SAS_ROUTE_SAFE ? SasPool_FRESH_MS
-                                                       : INT64_MAX;
+    bool avoid_idle = now_ms < service->avoid_idle_until;
+    return avoid_idle && call->route->kind != SAS_ROUTE_SAFE
+               ? SasPool_TRUSTED_IDLE_MS
+               : INT64_MAX;
 }
 
 void
@@ -101,8 +102,8 @@
     request.body = SasHttpExchange_GetBody(call->exchange, &request.body_size);
     call->user.vtable = &user_vtable;
     call->pooled =
-        SasPool_Take(relay->options.pool, slot, get_max_rest(call, now_ms));
-    call->rest_ms = SasPool_GetRest(call->pooled);
+        SasPool_Acquire(relay->options.pool, slot, get_max_idle(call, now_ms));
+    call->conn_idle_ms = SasPool_GetIdleMs(call->pooled);
     SasHttp_Send(SasPool_GetConn(call->pooled), &request, left_ms,
                  &call->user);
 }
@@ -124,7 +125,7 @@
     if (call->pooled != NULL) {
         struct sas_pooled *pooled = call->pooled;
         end_attempt(call, false);
-        SasPool_Drop(pooled);
+        SasPool_Discard(pooled);
     }
 }
 
@@ -136,8 +137,8 @@
     call->status = 0;
     call->sealed = false;
     call->not_run = false;
-    call->spoiled = false;
-    call->idle_ms = 0;
+    call->unusable = false;
+    call->keep_alive_ms = 0;
     call->report.running = -1;
     call->report.waiting = 0;
     g_ptr_array_set_size(call->answer_headers, 0);
@@ -176,7 +177,7 @@
         return;
     }
     if (strcasecmp(header->name, "Keep-Alive") == 0) {
-        call->idle_ms = read_keep_alive(header->value);
+        call->keep_alive_ms = read_keep_alive(header->value);
         return;
     }
     if (strcasecmp(header->name, wire->seal) == 0) {
@@ -186,7 +187,7 @@
         call->not_run = true;
     }
     else if (strcasecmp(header->name, "Content-Encoding") == 0) {
-        call->spoiled = true;
+        call->unusable = true;
     }
     if (!SasHttp_IsHopHeader(header->name)) {
         g_ptr_array_add(call->answer_headers, g_strdup(header->name));
@@ -228,7 +229,7 @@
 {
     struct relay_call *call = (struct relay_call *)user;
     if (call->answer_body->len + size > SasRelay_MAX_ANSWER) {
-        call->spoiled = true;
+        call->unusable = true;
         return;
     }
     g_string_append_len(call->answer_body, data, (gssize)size);
@@ -240,7 +241,7 @@
 static bool
 is_deliverable(const struct relay_call *call)
 {
-    if (call->spoiled) {
+    if (call->unusable) {
         return false;
     }
     switch (call->status) {
@@ -257,8 +258,8 @@
 static void
 deliver(struct relay_call *call)
 {
-    SasSuspects_NoteSurvived(call->relay->suspects,
-                             SasRelay_GetFingerprint(call));
+    SasPoisonRequests_NoteCompleted(call->relay->poison_requests,
+                                    SasRelay_GetFingerprint(call));
     int count = (int)call->answer_headers->len / 2;
     struct sas_http_header headers[SasHttp_MAX_HEADERS];
     count = MIN(count, SasHttp_MAX_HEADERS);
@@ -280,41 +281,41 @@
 /* A server's error to what may repeat: another server may do better, and the
  * error is delivered if none does. */
 static bool
-is_worth_another(const struct relay_call *call)
+is_worth_retry(const struct relay_call *call)
 {
-    return call->route->kind == SAS_ROUTE_SAFE && call->kept.status == 0 &&
+    return call->route->kind == SAS_ROUTE_SAFE && call->fallback.status == 0 &&
            call->status >= 500 && call->status != 504;
 }
 
 static void
-keep_answer(struct relay_call *call)
+save_fallback(struct relay_call *call)
 {
-    call->kept.status = call->status;
-    call->kept.headers = call->answer_headers;
-    call->kept.body = call->answer_body;
+    call->fallback.status = call->status;
+    call->fallback.headers = call->answer_headers;
+    call->fallback.body = call->answer_body;
     call->answer_headers = g_ptr_array_new_with_free_func(g_free);
     call->answer_body = g_string_new(NULL);
 }
 
 bool
-SasRelay_DeliverKept(struct relay_call *call)
+SasRelay_DeliverFallback(struct relay_call *call)
 {
-    if (call->kept.status == 0) {
+    if (call->fallback.status == 0) {
         return false;
     }
     g_ptr_array_free(call->answer_headers, TRUE);
     g_string_free(call->answer_body, TRUE);
-    call->status = call->kept.status;
-    call->answer_headers = call->kept.headers;
-    call->answer_body = call->kept.body;
-    call->kept.status = 0;
+    call->status = call->fallback.status;
+    call->answer_headers = call->fallback.headers;
+    call->answer_body = call->fallback.body;
+    call->fallback.status = 0;
     deliver(call);
     return true;
 }
 
 /* May it run once more although it may have run? */
 static void
-repeat_or_fail(struct relay_call *call, const char *outcome)
+retry_or_fail(struct relay_call *call, const char *outcome)
 {
     if (call->route->kind == SAS_ROUTE_SAFE) {
         SasRelay_Choose(call);
@@ -325,13 +326,13 @@
 
 /* What the answer shows of the route's work, and of who knows the object. */
 static void
-note_work(struct relay_call *call, double elapsed_ms)
+note_service_time(struct relay_call *call, double elapsed_ms)
 {
     struct sas_relay *relay = call->relay;
     const struct sas_fleet_server *server =
         SasFleet_At(relay->options.fleet, call->server.slot);
     if (SasTraffic_FoundSlot(server, call->load_when_sent)) {
-        SasPace_Note(&SasRelay_GetRouteState(call)->pace, call->known,
+        SasPace_Note(&SasRelay_GetRouteState(call)->service_time, call->cached,
                      elapsed_ms);
     }
     if (call->keyed) {
@@ -341,7 +342,7 @@
 }
 
 static void
-note_run(struct relay_call *call, bool timed_out)
+note_result(struct relay_call *call, bool timed_out)
 {
     struct sas_relay *relay = call->relay;
     struct sas_fleet *fleet = relay->options.fleet;
@@ -352,20 +353,20 @@
     struct sas_traffic_end end = {
         .elapsed_ms = (double)(now_ms - call->sent_at),
         .load_when_sent = call->load_when_sent,
-        .known = call->known,
+        .known = call->cached,
         .timed_out = timed_out,
         .failed = !timed_out && call->status / 100 != 2,
     };
-    SasRelay_TellChange(
+    SasRelay_ReportChange(
         relay, call->server.slot,
         SasTraffic_NoteRun(fleet, call->server.slot, &end, now_ms),
         timed_out ? "timed out" : "slow");
-    if (relay->in_doubt &&
+    if (relay->rows_stale &&
         SasTraffic_IsSlow(SasFleet_At(fleet, call->server.slot))) {
-        SasRelay_SuspectCold(relay, call->server.slot);
+        SasRelay_AssumeCold(relay, call->server.slot);
     }
     if (!timed_out && call->status / 100 == 2) {
-        note_work(call, end.elapsed_ms);
+        note_service_time(call, end.elapsed_ms);
         SasRelay_NoteAnswered(relay, call->server.slot);
     }
     else if (!timed_out && call->status >= 500) {
@@ -385,25 +386,25 @@
         SasFleet_GetServer(relay->options.fleet, call->server);
     end_attempt(call, true);
     if (reusable) {
-        SasPool_Give(pooled, call->idle_ms);
+        SasPool_Release(pooled, call->keep_alive_ms);
     }
     bool not_run = call->not_run || call->status == 421;
-    call->same_again = call->not_run && call->status != 421 &&
-                       server != NULL &&
-                       SasTraffic_FoundSlot(server, call->load_when_sent);
+    call->retry_same_server =
+        call->not_run && call->status != 421 && server != NULL &&
+        SasTraffic_FoundSlot(server, call->load_when_sent);
     if (server != NULL) {
         SasTraffic_NoteReport(relay->options.fleet, call->server.slot,
                               &call->report, now_ms);
         if (!not_run) {
-            note_run(call, false);
+            note_result(call, false);
         }
         if (call->status == 421) {
             /* Its address is another server's by now; its entry lags. */
-            SasRelay_TellChange(relay, call->server.slot,
-                                SasTraffic_NoteReplaced(relay->options.fleet,
-                                                        call->server.slot,
-                                                        now_ms),
-                                "address is another server's");
+            SasRelay_ReportChange(relay, call->server.slot,
+                                  SasTraffic_NoteReplaced(relay->options.fleet,
+                                                          call->server.slot,
+                                                          now_ms),
+                                  "address is another server's");
         }
     }
     if (not_run) {
@@ -411,8 +412,8 @@
         return;
     }
     call->attempts++;
-    if (is_deliverable(call) && is_worth_another(call)) {
-        keep_answer(call);
+    if (is_deliverable(call) && is_worth_retry(call)) {
+        save_fallback(call);
         SasRelay_Choose(call);
         return;
     }
@@ -420,7 +421,7 @@
         deliver(call);
         return;
     }
-    repeat_or_fail(call, "spoiled answer");
+    retry_or_fail(call, "spoiled answer");
 }
 
 static void
@@ -431,10 +432,11 @@
     if (SasFleet_GetServer(fleet, call->server) == NULL) {
         return;
     }
-    SasRelay_TellChange(relay, call->server.slot,
-                        SasTraffic_NoteFailure(fleet, call->server.slot,
-                                               connected, SasRelay_Now(relay)),
-                        connected ? "connection lost" : "no connection");
+    SasRelay_ReportChange(relay, call->server.slot,
+                          SasTraffic_NoteFailure(fleet, call->server.slot,
+                                                 connected,
+                                                 SasRelay_Now(relay)),
+                          connected ? "connection lost" : "no connection");
     if (connected) {
         SasRelay_NoteFailed(relay, call->server.slot);
     }
@@ -442,23 +444,24 @@
 
 /* A rested connection was dead: that says nothing of the server. */
 static bool
-was_forgotten(const struct relay_call *call,
-              const struct sas_http_failure *failure)
+was_dropped_idle(const struct relay_call *call,
+                 const struct sas_http_failure *failure)
 {
     return failure->sent && !failure->begun &&
-           call->rest_ms >= SasPool_FRESH_MS &&
-           SasRelay_Now(call->relay) - call->sent_at < FORGOTTEN_MS;
+           call->conn_idle_ms >= SasPool_TRUSTED_IDLE_MS &&
+           SasRelay_Now(call->relay) - call->sent_at < DROPPED_IDLE_RESET_MS;
 }
 
 /* Also where the connection seems to have been forgotten: a crash at once
  * after the first byte looks the same. */
 static void
-note_suspect(struct relay_call *call)
+note_lost(struct relay_call *call)
 {
     struct sas_relay *relay = call->relay;
     if (SasFleet_GetServer(relay->options.fleet, call->server) != NULL) {
-        SasSuspects_NoteLost(relay->suspects, SasRelay_GetFingerprint(call),
-                             call->server.slot, call->alone);
+        SasPoisonRequests_NoteLost(relay->poison_requests,
+                                   SasRelay_GetFingerprint(call),
+                                   call->server.slot, call->isolated);
     }
 }
 
@@ -469,16 +472,16 @@
     end_attempt(call, false);
     if (failure->error.code == SAS_ETIMEOUT) {
         call->attempts++;
-        note_run(call, true);
-        if (!SasRelay_DeliverKept(call)) {
+        note_result(call, true);
+        if (!SasRelay_DeliverFallback(call)) {
             SasRelay_Fail(call, "timed out", 504);
         }
         return;
     }
-    call->same_again = was_forgotten(call, failure);
-    if (call->same_again) {
-        SasRelay_GetService(call->relay, call->service)->wary_until =
-            SasRelay_Now(call->relay) + WARY_MS;
+    call->retry_same_server = was_dropped_idle(call, failure);
+    if (call->retry_same_server) {
+        SasRelay_GetService(call->relay, call->service)->avoid_idle_until =
+            SasRelay_Now(call->relay) + AVOID_IDLE_MS;
     }
     else {
         note_failure(call, failure->sent);
@@ -486,14 +489,14 @@
     SasLog_WriteFields(SasLog_WARN, "attempt.failed", call->server_id,
                        "{s:s, s:b, s:b, s:I, s:s, s:s}", "request",
                        call->request_id, "sent", failure->sent, "begun",
-                       failure->begun, "rest_ms", (json_int_t)call->rest_ms,
-                       "at", failure->error.step, "cause",
-                       failure->error.text);
+                       failure->begun, "rest_ms",
+                       (json_int_t)call->conn_idle_ms, "at",
+                       failure->error.step, "cause", failure->error.text);
     if (!failure->sent) {
         SasRelay_Choose(call);
         return;
     }
     call->attempts++;
-    note_suspect(call);
-    repeat_or_fail(call, "connection lost");
+    note_lost(call);
+    retry_or_fail(call, "connection lost");
 }
--- a/packages/gateway/src/relay_choose.c
+++ b/packages/gateway/src/relay_choose.c
@@ -10,35 +10,36 @@
 
 /* A refusal by a server with free slots says nothing of the next try; the
  * caller may come back at once. */
-#define EARLY_SHED_RETRY_MS 30
-#define MAX_EARLY_SHEDS 3
+#define SPURIOUS_REFUSAL_RETRY_MS 30
+#define MAX_SPURIOUS_REFUSALS 3
 
 /* Servers' rows that were confirmed longer ago may be wrong. The store's
  * longest wait for a change, and the way by a leader, take up to 3.3 s. */
-#define DOUBT_MS 3500
+#define STALE_ROWS_MS 3500
 
 /* Half a request: what is left of a report when it has faded. */
 #define IDLE_LOAD 0.5
 
 /* The part of a route's objects that stays at home; 0: by its slots. */
 static double
-get_keep(const struct relay_call *call, int64_t now_ms)
+get_zone_share(const struct relay_call *call, int64_t now_ms)
 {
     struct sas_relay *relay = call->relay;
     if (call->route->kind != SAS_ROUTE_UPLOAD) {
         return 0;
     }
-    return SasKeep_Update(&SasRelay_GetService(relay, call->service)->keep,
-                          relay->options.fleet, call->service,
-                          SasMesh_GetOwnZone(relay->options.mesh), now_ms);
+    return SasKeep_Update(
+        &SasRelay_GetService(relay, call->service)->zone_share,
+        relay->options.fleet, call->service,
+        SasMesh_GetOwnZone(relay->options.mesh), now_ms);
 }
 
 static bool
-is_near(const struct relay_call *call)
+prefers_zone(const struct relay_call *call)
 {
     const struct route_state *state = SasRelay_GetRouteState(call);
     return call->route->kind == SAS_ROUTE_UPLOAD ||
-           SasKeep_IsNear(&state->pace, state->bytes);
+           SasKeep_IsNear(&state->service_time, state->bytes);
 }
 
 /* The server. */
@@ -49,8 +50,8 @@
     /* A server that refuses requests though it has free slots refuses some
      * of them, not all; one that had forgotten a connection takes a new one.
      * It knows the object and another one doesn't. */
-    if (call->same_again && slot == call->server.slot &&
-        call->tried_count < MAX_EARLY_SHEDS) {
+    if (call->retry_same_server && slot == call->server.slot &&
+        call->tried_count < MAX_SPURIOUS_REFUSALS) {
         return false;
     }
     for (int i = 0; i < call->tried_count; i++) {
@@ -84,7 +85,7 @@
     }
     struct sas_mesh_senders senders =
         SasMesh_GetSenders(relay->options.mesh, server->hash, region);
-    if (!senders.joined) {
+    if (!senders.has_share) {
         return true;
     }
     int share =
@@ -95,9 +96,9 @@
 
 /* Whether the request may go on to another server at all. */
 static const char *
-find_obstacle(struct relay_call *call, int64_t now_ms)
+find_refusal_reason(struct relay_call *call, int64_t now_ms)
 {
-    if (call->deadline_at - now_ms < SasRelay_MIN_LEFT_MS) {
+    if (call->deadline_at - now_ms < SasRelay_MIN_ATTEMPT_MS) {
         return "no time left";
     }
     if (call->tried_count == 0) {
@@ -109,7 +110,7 @@
     }
     struct service_state *service =
         SasRelay_GetService(call->relay, call->service);
-    if (!SasRepeat_Take(&service->repeats,
+    if (!SasRepeat_Take(&service->retries,
                         SasMesh_Count(call->relay->options.mesh), now_ms)) {
         return "no repeats left";
     }
@@ -117,9 +118,10 @@
 }
 
 static void
-give_up(struct relay_call *call, const char *outcome, int64_t retry_after_ms)
+end_unserved(struct relay_call *call, const char *outcome,
+             int64_t retry_after_ms)
 {
-    if (SasRelay_DeliverKept(call)) {
+    if (SasRelay_DeliverFallback(call)) {
         return;
     }
     if (call->attempts > 0) {
@@ -150,30 +152,31 @@
 struct sas_fingerprint
 SasRelay_GetFingerprint(struct relay_call *call)
 {
-    if (!call->named) {
+    if (!call->has_fingerprint) {
         size_t size = 0;
         const char *body = SasHttpExchange_GetBody(call->exchange, &size);
         call->fingerprint = SasQuarantine_GetFingerprint(
             SasHttpExchange_GetMethod(call->exchange),
             SasHttpExchange_GetTarget(call->exchange), body, size);
-        call->named = true;
+        call->has_fingerprint = true;
     }
     return call->fingerprint;
 }
 
 static enum sas_quarantine_verdict
-judge_suspect(struct relay_call *call)
+check_poison(struct relay_call *call)
 {
-    struct sas_suspects *suspects = call->relay->suspects;
-    if (!SasSuspects_Any(suspects)) {
+    struct sas_poison_requests *poison_requests = call->relay->poison_requests;
+    if (!SasPoisonRequests_HasAny(poison_requests)) {
         return SAS_QUARANTINE_ALLOW;
     }
-    return SasSuspects_Check(suspects, SasRelay_GetFingerprint(call));
+    return SasPoisonRequests_Check(poison_requests,
+                                   SasRelay_GetFingerprint(call));
 }
 
 /* Servers on which nothing else runs, as far as this entry VM knows. */
 static int
-keep_idle(struct relay_call *call, int *slots, int count, int64_t now_ms)
+filter_idle(struct relay_call *call, int *slots, int count, int64_t now_ms)
 {
     int kept = 0;
     for (int i = 0; i < count; i++) {
@@ -191,8 +194,8 @@
  * where there is none the owner is still better than cold requests that take
  * slots from others. How many servers are left to choose from. */
 static int
-avoid_grey(const struct relay_call *call, int *slots, int count,
-           int64_t now_ms)
+avoid_grey_failure(const struct relay_call *call, int *slots, int count,
+                   int64_t now_ms)
 {
     const struct sas_fleet *fleet = call->relay->options.fleet;
     if (call->route->kind == SAS_ROUTE_SAFE || count == 0 ||
@@ -216,27 +219,28 @@
  * store is away. It breaks down under what a warm one gets in the second that
  * follows. */
 static void
-update_doubt(struct sas_relay *relay)
+update_rows_stale(struct sas_relay *relay)
 {
     const struct sas_source *source = relay->options.source;
     int64_t age_ms =
         source->get_age_ms != NULL ? source->get_age_ms(source) : 0;
-    bool in_doubt = age_ms > DOUBT_MS;
-    if (in_doubt != relay->in_doubt) {
-        relay->in_doubt = in_doubt;
+    bool rows_stale = age_ms > STALE_ROWS_MS;
+    if (rows_stale != relay->rows_stale) {
+        relay->rows_stale = rows_stale;
         SasLog_WriteFields(SasLog_INFO, "servers.doubt", "", "{s:b, s:I}",
-                           "in_doubt", in_doubt, "age_ms", (json_int_t)age_ms);
+                           "in_doubt", rows_stale, "age_ms",
+                           (json_int_t)age_ms);
     }
 }
 
 /* In doubt, leaves out the servers that have fallen silent, unless all have:
  * then the cause is not theirs. */
 static int
-avoid_silent(const struct relay_call *call, int *slots, int count,
-             int64_t now_ms)
+avoid_unresponsive(const struct relay_call *call, int *slots, int count,
+                   int64_t now_ms)
 {
     const struct sas_fleet *fleet = call->relay->options.fleet;
-    if (!call->relay->in_doubt) {
+    if (!call->relay->rows_stale) {
         return count;
     }
     int kept = 0;
@@ -256,7 +260,7 @@
 /* Where a route states no objective, its requests are in time within their
  * limit. */
 static int64_t
-get_goal(const struct relay_call *call)
+get_objective(const struct relay_call *call)
 {
     return call->route->target_latency_ms > 0
                ? call->route->target_latency_ms
@@ -266,8 +270,8 @@
 /* Leaves out the servers that were tried and that are too cold; reason says
  * why the last of them was left out. */
 static int
-keep_usable(struct relay_call *call, int *slots, int count, int64_t now_ms,
-            const char **reason)
+filter_usable(struct relay_call *call, int *slots, int count, int64_t now_ms,
+              const char **reason)
 {
     int kept = 0;
     for (int i = 0; i < count; i++) {
@@ -285,13 +289,13 @@
 
 /* Where the operators' sheet sends the request, once for all its attempts. */
 static void
-take_orders(struct relay_call *call, int64_t now_ms)
+acquire_steering(struct relay_call *call, int64_t now_ms)
 {
     const struct sas_relay_options *options = &call->relay->options;
-    if (call->steering_asked || !SasSteering_IsActive(options->steering)) {
+    if (call->steering_checked || !SasSteering_IsActive(options->steering)) {
         return;
     }
-    call->steering_asked = true;
+    call->steering_checked = true;
     int zone = SasMesh_GetOwnZone(options->mesh);
     int home = SasFleet_GetZone(options->fleet, zone)->region;
     /* Any number that all agree on: it only orders the sharers. */
@@ -306,24 +310,24 @@
         .bytes = (double)size,
         .vms = senders.count,
         .rank = senders.rank,
-        .newcomer = !senders.joined,
+        .newcomer = !senders.has_share,
     };
     SasSteering_Take(options->steering, &query, now_ms, &call->grant);
 }
 
 static struct sas_admit_verdict
-judge(struct relay_call *call, const int *slots, int count, int64_t now_ms)
+decide(struct relay_call *call, const int *slots, int count, int64_t now_ms)
 {
     struct sas_admit_query query = {
         .slots = slots,
         .count = count,
         .objects = call->keyed ? call->relay->objects : NULL,
-        .pace = &SasRelay_GetRouteState(call)->pace,
+        .pace = &SasRelay_GetRouteState(call)->service_time,
         .key = call->key,
-        .goal_ms = (double)(call->began_at + get_goal(call) - now_ms),
+        .goal_ms = (double)(call->began_at + get_objective(call) - now_ms),
         .left_ms = (double)(call->deadline_at - now_ms),
         .urgent = call->route->urgent,
-        .in_doubt = call->relay->in_doubt,
+        .in_doubt = call->relay->rows_stale,
     };
     return SasAdmit_Judge(call->relay->options.fleet, &query, now_ms);
 }
@@ -334,26 +338,26 @@
 {
     struct sas_relay *relay = call->relay;
     int64_t now_ms = SasRelay_Now(relay);
-    const char *obstacle = find_obstacle(call, now_ms);
-    if (obstacle != NULL) {
-        give_up(call, obstacle,
-                call->same_again ? EARLY_SHED_RETRY_MS
-                                 : SasRelay_RETRY_AFTER_MS);
+    const char *refusal = find_refusal_reason(call, now_ms);
+    if (refusal != NULL) {
+        end_unserved(call, refusal,
+                     call->retry_same_server ? SPURIOUS_REFUSAL_RETRY_MS
+                                             : SasRelay_RETRY_AFTER_MS);
         return;
     }
-    enum sas_quarantine_verdict suspicion = judge_suspect(call);
-    if (suspicion == SAS_QUARANTINE_REFUSE) {
-        give_up(call, "quarantined", SasRelay_RETRY_AFTER_MS);
+    enum sas_quarantine_verdict quarantine = check_poison(call);
+    if (quarantine == SAS_QUARANTINE_REFUSE) {
+        end_unserved(call, "quarantined", SasRelay_RETRY_AFTER_MS);
         return;
     }
-    take_orders(call, now_ms);
-    update_doubt(relay);
+    acquire_steering(call, now_ms);
+    update_rows_stale(relay);
     struct sas_fleet *fleet = relay->options.fleet;
     struct sas_owner_query query = {
         .service = call->service,
         .zone = SasMesh_GetOwnZone(relay->options.mesh),
-        .near = is_near(call),
-        .keep = get_keep(call, now_ms),
+        .near = prefers_zone(call),
+        .keep = get_zone_share(call, now_ms),
         .key = call->key,
         .homes = call->route->homes,
         .ordered = call->grant.steered,
@@ -363,20 +367,20 @@
     int count =
         SasOwner_Rank(fleet, &query, now_ms, slots, SasOwner_MAX_CANDIDATES);
     const char *reason = "no server";
-    count = keep_usable(call, slots, count, now_ms, &reason);
-    count = avoid_silent(call, slots, count, now_ms);
-    count = avoid_grey(call, slots, count, now_ms);
-    call->alone = suspicion == SAS_QUARANTINE_ALONE;
-    if (call->alone) {
-        count = keep_idle(call, slots, count, now_ms);
+    count = filter_usable(call, slots, count, now_ms, &reason);
+    count = avoid_unresponsive(call, slots, count, now_ms);
+    count = avoid_grey_failure(call, slots, count, now_ms);
+    call->isolated = quarantine == SAS_QUARANTINE_ALONE;
+    if (call->isolated) {
+        count = filter_idle(call, slots, count, now_ms);
         reason = "suspect";
     }
-    struct sas_admit_verdict verdict = judge(call, slots, count, now_ms);
+    struct sas_admit_verdict verdict = decide(call, slots, count, now_ms);
     call->wait_ms = verdict.wait_ms;
     if (verdict.slot != SasModel_NONE) {
-        call->known = verdict.known;
+        call->cached = verdict.known;
         call->work_ms = verdict.work_ms;
-        if (call->keyed && !call->known) {
+        if (call->keyed && !call->cached) {
             SasObjects_NoteSent(relay->objects, call->service, call->key,
                                 SasFleet_GetRef(fleet, verdict.slot), now_ms);
         }
@@ -387,6 +391,6 @@
         SasRelay_NoteServer(call, slots[0], now_ms);
         reason = "owner full";
     }
-    give_up(call, reason,
-            count > 0 ? verdict.retry_after_ms : SasRelay_RETRY_AFTER_MS);
+    end_unserved(call, reason,
+                 count > 0 ? verdict.retry_after_ms : SasRelay_RETRY_AFTER_MS);
 }
--- a/packages/gateway/src/view.c
+++ b/packages/gateway/src/view.c
@@ -85,20 +85,20 @@
 }
 
 static json_t *
-make_owners(const struct sas_view_parts *parts, const char *service,
+make_owners(const struct sas_view_options *options, const char *service,
             const char *object, int64_t now_ms)
 {
-    const struct sas_fleet *fleet = parts->fleet;
+    const struct sas_fleet *fleet = options->fleet;
     json_t *rows = json_array();
     struct sas_owner_query query = {
         .service = SasFleet_FindService(fleet, service),
-        .zone = SasMesh_GetOwnZone(parts->mesh),
+        .zone = SasMesh_GetOwnZone(options->mesh),
         .key = SasOwner_HashKey(object),
     };
     int home = SasFleet_GetZone(fleet, query.zone)->region;
     if (query.service != SasModel_NONE) {
         query.to_region = SasSteering_PickRegion(
-            parts->steering, query.service, home, query.key);
+            options->steering, query.service, home, query.key);
         query.ordered = query.to_region != home;
     }
     int slots[SasOwner_MAX_CANDIDATES];
@@ -114,11 +114,11 @@
 }
 
 json_t *
-SasView_Make(const struct sas_view_parts *parts, const char *service,
+SasView_Make(const struct sas_view_options *options, const char *service,
              const char *object, int64_t now_ms)
 {
-    const struct sas_fleet *fleet = parts->fleet;
-    const struct sas_mesh *mesh = parts->mesh;
+    const struct sas_fleet *fleet = options->fleet;
+    const struct sas_mesh *mesh = options->mesh;
     const struct sas_mesh_facts *own = SasMesh_GetOwn(mesh);
     json_t *view =
         json_pack("{s:s, s:s, s:I, s:o, s:o, s:o, s:o}", "vm", own->name,
@@ -127,7 +127,7 @@
                   make_servers(fleet, now_ms), "zones", make_zones(fleet));
     if (service != NULL && object != NULL) {
         json_object_set_new(view, "owners",
-                            make_owners(parts, service, object, now_ms));
+                            make_owners(options, service, object, now_ms));
     }
     return view;
 }
--- a/packages/gateway/src/view.h
+++ b/packages/gateway/src/view.h
@@ -16,13 +16,13 @@
 #include "sas/steering.h"
 
 /* service and object may be NULL: no owners. */
-struct sas_view_parts {
+struct sas_view_options {
     const struct sas_fleet *fleet;
     const struct sas_mesh *mesh;
     const struct sas_steering *steering;
 };
 
-json_t *SasView_Make(const struct sas_view_parts *parts, const char *service,
-                     const char *object, int64_t now_ms);
+json_t *SasView_Make(const struct sas_view_options *options,
+                     const char *service, const char *object, int64_t now_ms);
 
 #endif
--- a/packages/gateway/tests/test_gossip.c
+++ b/packages/gateway/tests/test_gossip.c
@@ -22,70 +22,73 @@
     struct sas_proto_key *keys[VMS]; /* NULL: none */
     double links_mbps[VMS];          /* 0: the usual */
     struct node {
-        struct sas_mesh_user user;
-        int trips;
-        struct sas_mesh_trip_news last;
-        int suspects;
-        int differing;
+        struct sas_mesh_listener listener;
+        int ejections;
+        struct sas_mesh_ejection last_ejection;
+        int poison_updates;
+        int mismatches;
         int records;
         struct sas_quarantine_entry last_record;
         int failed;
         int answered;
-        struct sas_mesh_suspect_news last_suspect;
-        struct sas_mesh_table_user tables;
+        struct sas_mesh_poison_update last_poison_update;
+        struct sas_mesh_table_listener table_listener;
         int64_t changes[2]; /* by table */
-        int teller;         /* its port */
+        int announcer;      /* its port */
     } nodes[VMS];
 };
 
 static void
-on_trip(struct sas_mesh_user *user, const struct sas_mesh_trip_news *news)
+on_ejection(struct sas_mesh_listener *listener,
+            const struct sas_mesh_ejection *update)
 {
-    struct node *node = (struct node *)user;
-    node->trips++;
-    node->last = *news;
+    struct node *node = (struct node *)listener;
+    node->ejections++;
+    node->last_ejection = *update;
 }
 
 static void
-on_suspect(struct sas_mesh_user *user,
-           const struct sas_mesh_suspect_news *news)
+on_poison_update(struct sas_mesh_listener *listener,
+                 const struct sas_mesh_poison_update *update)
 {
-    struct node *node = (struct node *)user;
-    node->suspects++;
-    node->last_suspect = *news;
+    struct node *node = (struct node *)listener;
+    node->poison_updates++;
+    node->last_poison_update = *update;
 }
 
 static void
-on_loss(struct sas_mesh_user *user, const struct sas_mesh_loss_news *news)
+on_failure_report(struct sas_mesh_listener *listener,
+                  const struct sas_mesh_failure_report *update)
 {
-    struct node *node = (struct node *)user;
-    node->failed += news->failed;
-    node->answered += news->answered;
+    struct node *node = (struct node *)listener;
+    node->failed += update->failed;
+    node->answered += update->answered;
 }
 
 static void
-on_differ(struct sas_mesh_user *user, int i)
+on_digest_mismatch(struct sas_mesh_listener *listener, int i)
 {
     (void)i;
-    ((struct node *)user)->differing++;
+    ((struct node *)listener)->mismatches++;
 }
 
 static void
-on_record(struct sas_mesh_user *user, const struct sas_quarantine_entry *entry)
+on_record(struct sas_mesh_listener *listener,
+          const struct sas_quarantine_entry *entry)
 {
-    struct node *node = (struct node *)user;
+    struct node *node = (struct node *)listener;
     node->records++;
     node->last_record = *entry;
 }
 
 static void
-on_change(struct sas_mesh_table_user *user, int table, int64_t version,
-          const struct sas_address *teller)
+on_change(struct sas_mesh_table_listener *listener, int table, int64_t version,
+          const struct sas_address *announcer)
 {
-    struct node *node =
-        (struct node *)((char *)user - offsetof(struct node, tables));
+    struct node *node = (struct node *)((char *)listener -
+                                        offsetof(struct node, table_listener));
     node->changes[table] = version;
-    node->teller = teller->port;
+    node->announcer = announcer->port;
 }
 
 static int
@@ -133,14 +136,14 @@
     f->meshes[i] =
         SasMesh_Open(&f->loop, f->fleet, &settings, f->random, &error);
     assert_non_null(f->meshes[i]);
-    f->nodes[i].user.on_trip = on_trip;
-    f->nodes[i].user.on_suspect = on_suspect;
-    f->nodes[i].user.on_differ = on_differ;
-    f->nodes[i].user.on_record = on_record;
-    f->nodes[i].user.on_loss = on_loss;
-    SasMesh_SetUser(f->meshes[i], &f->nodes[i].user);
-    f->nodes[i].tables.on_change = on_change;
-    SasMesh_SetTableUser(f->meshes[i], &f->nodes[i].tables);
+    f->nodes[i].listener.on_ejection = on_ejection;
+    f->nodes[i].listener.on_poison_update = on_poison_update;
+    f->nodes[i].listener.on_digest_mismatch = on_digest_mismatch;
+    f->nodes[i].listener.on_record = on_record;
+    f->nodes[i].listener.on_failure_report = on_failure_report;
+    SasMesh_SetListener(f->meshes[i], &f->nodes[i].listener);
+    f->nodes[i].table_listener.on_change = on_change;
+    SasMesh_SetTableListener(f->meshes[i], &f->nodes[i].table_listener);
 }
 
 static struct fixture *
@@ -231,7 +234,7 @@
         leaders += SasMesh_FindLeader(f->meshes[i], &peer) ? 0 : 1;
         bool east = SasMesh_IsOwnRegion(f->meshes[i], get_region(f, "east"));
         bool tester =
-            SasMesh_IsTester(f->meshes[i], SERVER_HASH, get_region(f, "east"));
+            SasMesh_IsProber(f->meshes[i], SERVER_HASH, get_region(f, "east"));
         testers += east && tester ? 1 : 0;
     }
     assert_int_equal(leaders, 3); /* of three zones */
@@ -261,7 +264,7 @@
     assert_int_equal(seen, 7); /* each rank once */
     /* Callers are sent elsewhere. */
     struct sas_address addresses[4];
-    assert_int_equal(SasMesh_Find(f->meshes[2], 0, 0, addresses, 4), 1);
+    assert_int_equal(SasMesh_Lookup(f->meshes[2], 0, 0, addresses, 4), 1);
     assert_int_equal(addresses[0].port, 8000);
     stop(f);
 }
@@ -294,12 +297,12 @@
     int64_t began_at = g_get_monotonic_time();
     open_all(f);
     struct sas_mesh *mesh = f->meshes[0];
-    assert_false(SasMesh_GetSenders(mesh, SERVER_HASH, region).joined);
-    SPIN_UNTIL(f, SasMesh_GetSenders(mesh, SERVER_HASH, region).joined);
+    assert_false(SasMesh_GetSenders(mesh, SERVER_HASH, region).has_share);
+    SPIN_UNTIL(f, SasMesh_GetSenders(mesh, SERVER_HASH, region).has_share);
     assert_true(g_get_monotonic_time() - began_at > G_USEC_PER_SEC);
     /* And one that was frozen, when it goes on. */
     g_usleep(2 * G_USEC_PER_SEC);
-    SPIN_UNTIL(f, !SasMesh_GetSenders(mesh, SERVER_HASH, region).joined);
+    SPIN_UNTIL(f, !SasMesh_GetSenders(mesh, SERVER_HASH, region).has_share);
     stop(f);
 }
 
@@ -314,17 +317,17 @@
     open_all(f);
     SPIN_UNTIL(f, all_know_all(f));
     struct sas_address addresses[4];
-    assert_int_equal(SasMesh_Find(f->meshes[2], 0, 0, addresses, 4), 2);
+    assert_int_equal(SasMesh_Lookup(f->meshes[2], 0, 0, addresses, 4), 2);
     assert_int_equal(addresses[0].port, 8001);
     SasMesh_Leave(f->meshes[1]);
     SPIN_UNTIL(f, SasMesh_Count(f->meshes[2]) == VMS - 1);
-    assert_int_equal(SasMesh_Find(f->meshes[2], 0, 0, addresses, 4), 2);
+    assert_int_equal(SasMesh_Lookup(f->meshes[2], 0, 0, addresses, 4), 2);
     assert_int_equal(addresses[0].port, 8002);
     assert_int_equal(addresses[1].port, 8000);
     /* Nor to the weakest of the region. */
     SasMesh_Leave(f->meshes[2]);
     SPIN_UNTIL(f, SasMesh_Count(f->meshes[3]) == VMS - 2);
-    assert_int_equal(SasMesh_Find(f->meshes[3], 0, 0, addresses, 4), 2);
+    assert_int_equal(SasMesh_Lookup(f->meshes[3], 0, 0, addresses, 4), 2);
     assert_int_equal(addresses[0].port, 8003);
     stop(f);
 }
@@ -339,29 +342,29 @@
     int region = get_region(f, "east");
     int tester = 0;
     for (int i = 0; i < VMS - 1; i++) {
-        if (SasMesh_IsTester(f->meshes[i], SERVER_HASH, region)) {
+        if (SasMesh_IsProber(f->meshes[i], SERVER_HASH, region)) {
             tester = i;
         }
     }
-    struct sas_mesh_trip_news news = {
+    struct sas_mesh_ejection update = {
         .server_hash = SERVER_HASH,
         .left_ms = 1500,
     };
-    struct sas_mesh_loss_news loss = {SERVER_HASH, 1, 7};
-    SasMesh_TellLoss(f->meshes[VMS - 1], &loss, region);
+    struct sas_mesh_failure_report report = {SERVER_HASH, 1, 7};
+    SasMesh_ReportFailures(f->meshes[VMS - 1], &report, region);
     SPIN_UNTIL(f, f->nodes[tester].answered == 7);
     assert_int_equal(f->nodes[tester].failed, 1);
-    SasMesh_TellTrip(f->meshes[VMS - 1], &news, region);
-    SPIN_UNTIL(f, f->nodes[tester].trips == 1);
+    SasMesh_ReportEjection(f->meshes[VMS - 1], &update, region);
+    SPIN_UNTIL(f, f->nodes[tester].ejections == 1);
     int others = 0;
     for (int i = 0; i < VMS; i++) {
-        others += i != tester ? f->nodes[i].trips : 0;
+        others += i != tester ? f->nodes[i].ejections : 0;
     }
     assert_int_equal(others, 0);
-    SasMesh_TellTrip(f->meshes[tester], &news, region);
+    SasMesh_ReportEjection(f->meshes[tester], &update, region);
     for (int i = 0; i < VMS; i++) {
-        SPIN_UNTIL(f, f->nodes[i].trips == 1);
-        assert_int_equal(f->nodes[i].last.left_ms, 1500);
+        SPIN_UNTIL(f, f->nodes[i].ejections == 1);
+        assert_int_equal(f->nodes[i].last_ejection.left_ms, 1500);
     }
     stop(f);
 }
@@ -374,10 +377,10 @@
 {
     (void)state;
     struct fixture *f = start();
-    struct sas_mesh_suspect_news row = {
+    struct sas_mesh_poison_update row = {
         .fingerprint = {3, 4},
         .crash = 5,
-        .alone = true,
+        .isolated = true,
     };
     int keeper = 0;
     int keepers = 0;
@@ -388,17 +391,17 @@
         }
     }
     assert_int_equal(keepers, 1);
-    SasMesh_TellSuspect(f->meshes[(keeper + 1) % VMS], &row, 1, false);
-    SPIN_UNTIL(f, f->nodes[keeper].suspects == 1);
-    assert_int_equal(f->nodes[keeper].last_suspect.fingerprint.high, 3);
-    assert_int_equal(f->nodes[keeper].last_suspect.crash, 5);
-    assert_true(f->nodes[keeper].last_suspect.alone);
+    SasMesh_ReportPoison(f->meshes[(keeper + 1) % VMS], &row, 1, false);
+    SPIN_UNTIL(f, f->nodes[keeper].poison_updates == 1);
+    assert_int_equal(f->nodes[keeper].last_poison_update.fingerprint.high, 3);
+    assert_int_equal(f->nodes[keeper].last_poison_update.crash, 5);
+    assert_true(f->nodes[keeper].last_poison_update.isolated);
     for (int i = 0; i < VMS; i++) {
-        assert_int_equal(f->nodes[i].suspects, i == keeper ? 1 : 0);
+        assert_int_equal(f->nodes[i].poison_updates, i == keeper ? 1 : 0);
     }
-    SasMesh_TellSuspect(f->meshes[keeper], &row, 1, true);
+    SasMesh_ReportPoison(f->meshes[keeper], &row, 1, true);
     for (int i = 0; i < VMS; i++) {
-        SPIN_UNTIL(f, f->nodes[i].suspects == 1);
+        SPIN_UNTIL(f, f->nodes[i].poison_updates == 1);
     }
     stop(f);
 }
@@ -407,7 +410,7 @@
  * and callers wait for its silence, until the others know. They must know
  * within seconds, also where nobody hears of everybody in each round; by the
  * age of the news alone it took 37 s. */
-#define CROWD 130
+#define MANY_VMS 130
 
 /* Requests that are refused would be sent again by one that has started since,
  * or missed the news. */
@@ -423,8 +426,9 @@
         .crashed_at = 700,
     };
     SasMesh_SetRecordsDigest(f->meshes[0], 9);
-    SPIN_UNTIL(f, f->nodes[0].differing > 1 && f->nodes[1].differing > 0 &&
-                      f->nodes[2].differing > 0 && f->nodes[3].differing > 0);
+    SPIN_UNTIL(f, f->nodes[0].mismatches > 1 && f->nodes[1].mismatches > 0 &&
+                      f->nodes[2].mismatches > 0 &&
+                      f->nodes[3].mismatches > 0);
     for (int i = 1; i < VMS; i++) {
         SasMesh_SendRecord(f->meshes[0], &entry, i);
         SasMesh_SetRecordsDigest(f->meshes[i], 9);
@@ -445,10 +449,10 @@
 }
 
 static int
-count_who_trust(struct sas_mesh **meshes, const char *name)
+count_who_see_live(struct sas_mesh **meshes, const char *name)
 {
     int count = 0;
-    for (int i = 0; i < CROWD; i++) {
+    for (int i = 0; i < MANY_VMS; i++) {
         struct sas_mesh_view vm;
         for (int j = 1;
              meshes[i] != NULL && SasMesh_GetView(meshes[i], j, &vm); j++) {
@@ -464,9 +468,9 @@
 {
     (void)state;
     struct fixture *f = prepare();
-    static struct sas_mesh *meshes[CROWD];
+    static struct sas_mesh *meshes[MANY_VMS];
     struct sas_error error = {0};
-    for (int i = 0; i < CROWD; i++) {
+    for (int i = 0; i < MANY_VMS; i++) {
         struct sas_entry_settings settings = {
             .caller = {"127.0.0.1", 8000},
             .peer = {"127.0.0.1", 0},
@@ -479,17 +483,17 @@
         meshes[i] =
             SasMesh_Open(&f->loop, f->fleet, &settings, f->random, &error);
         assert_non_null(meshes[i]);
-        SasMesh_SetUser(meshes[i], &f->nodes[0].user);
+        SasMesh_SetListener(meshes[i], &f->nodes[0].listener);
         for (int j = 0; j < i; j++) {
             SasMesh_AddVm(meshes[i], SasMesh_GetOwn(meshes[j]));
         }
     }
-    SPIN_UNTIL(f, count_who_trust(meshes, "vm-7") == CROWD - 1);
+    SPIN_UNTIL(f, count_who_see_live(meshes, "vm-7") == MANY_VMS - 1);
     SasMesh_Close(meshes[7]);
     meshes[7] = NULL;
-    SPIN_UNTIL(f, count_who_trust(meshes, "vm-7") == 0);
-    assert_int_equal(count_who_trust(meshes, "vm-8"), CROWD - 2);
-    stop_meshes(f, meshes, CROWD);
+    SPIN_UNTIL(f, count_who_see_live(meshes, "vm-7") == 0);
+    assert_int_equal(count_who_see_live(meshes, "vm-8"), MANY_VMS - 2);
+    stop_meshes(f, meshes, MANY_VMS);
 }
 
 /* An entry VM is killed and starts again while its clock has gone back. All
@@ -516,7 +520,7 @@
     SPIN_UNTIL(f, all_know_all(f));
     assert_true(SasMesh_GetOwn(f->meshes[1])->incarnation > STARTED_AT);
     /* And told of what it doesn't know. */
-    SPIN_UNTIL(f, f->nodes[0].differing > 0);
+    SPIN_UNTIL(f, f->nodes[0].mismatches > 0);
     stop(f);
 }
 
@@ -546,18 +550,18 @@
     for (int i = 0; i < VMS - 1; i++) {
         SPIN_UNTIL(f, SasMesh_Count(f->meshes[i]) == VMS - 1);
     }
-    struct sas_mesh_trip_news news = {
+    struct sas_mesh_ejection update = {
         .server_hash = SERVER_HASH,
         .left_ms = 1500,
     };
     int east = get_region(f, "east");
-    SasMesh_TellTrip(f->meshes[VMS - 1], &news, east);
+    SasMesh_ReportEjection(f->meshes[VMS - 1], &update, east);
     SasMesh_NoteSheet(f->meshes[0], 5);
     for (int i = 1; i < VMS - 1; i++) {
         SPIN_UNTIL(f, SasMesh_GetSheet(f->meshes[i]) == 5);
     }
     for (int i = 0; i < VMS - 1; i++) {
-        assert_int_equal(f->nodes[i].trips, 0);
+        assert_int_equal(f->nodes[i].ejections, 0);
         assert_int_equal(SasMesh_Count(f->meshes[i]), VMS - 1);
     }
     assert_int_equal(SasMesh_Count(f->meshes[VMS - 1]), 1);
@@ -582,7 +586,7 @@
         if (i != 2) {
             SPIN_UNTIL(f, f->nodes[i].changes[1] == 42);
             assert_int_equal(f->nodes[i].changes[0], 0);
-            assert_int_equal(f->nodes[i].teller,
+            assert_int_equal(f->nodes[i].announcer,
                              SasMesh_GetOwn(f->meshes[2])->peer.port);
         }
     }
