--- a/packages/gateway/include/sas/gateway.h
+++ b/packages/gateway/include/sas/gateway.h
@@ -1,9 +1,9 @@
-/* gateway - an entry VM on a living model: callers' requests, look-ups,
- * health and metrics, and the talk with other entry VMs.
+/* gateway - an entry VM: callers' requests, lookups, health and metrics, and
+ * gossip with the other entry VMs.
  *
- * The model is filled by a source that the owner opens on the same loop; the
- * gateway doesn't know which. It is ready once a configuration is in force
- * and the source says that it has seen all servers.
+ * The fleet is kept up to date by a source (struct sas_source), which the
+ * owner opens on the same loop. The gateway is ready once a configuration is
+ * in force and the source has listed all servers.
  */
 #ifndef SAS_GATEWAY_H
 #define SAS_GATEWAY_H
@@ -20,25 +20,27 @@
 struct sas_gateway;
 struct sas_mesh;
 
-/* Where the model comes from; embed it as first member. */
+/* Source of the fleet's servers and configuration; embed it as first
+ * member. */
 struct sas_source {
-    /* Begins; the gateway is open, so entry VMs may be added. */
+    /* Called once the gateway is open; entry VMs may be added from here on. */
     void (*start)(struct sas_source *source, struct sas_gateway *gateway);
     bool (*is_ready)(const struct sas_source *source);
-    /* There is a newer configuration than the one here, or there may be: too
-     * long ago the store confirmed it. NULL: there is no other. */
+    /* True if a newer configuration exists or may exist, since the store last
+     * confirmed the one in force too long ago. NULL: never. */
     bool (*is_behind)(const struct sas_source *source);
-    /* How long ago what is known of the servers was confirmed, milliseconds;
-     * INT64_MAX: never, or not yet by the servers themselves after an outage
-     * or a start. NULL: it never gets old. */
+    /* Time since the servers' rows were confirmed, milliseconds. INT64_MAX:
+     * never, or the servers have not yet had time to write their rows again
+     * after an outage of the store or a start. NULL: rows never become
+     * stale. */
     int64_t (*get_age_ms)(const struct sas_source *source);
-    /* No more calls are made; the loop runs out of its handles. */
+    /* Stops all calls and closes the source's handles on the loop. */
     void (*stop)(struct sas_source *source);
-    /* Answers other entry VMs that ask what this one knows. */
+    /* HTTP handler for other entry VMs that request rows. */
     struct sas_http_handler *peers;
 };
 
-/* All of it stays the caller's and must outlive the gateway. */
+/* Everything in it is borrowed and must outlive the gateway. */
 struct sas_gateway_options {
     uv_loop_t *loop;
     struct sas_fleet *fleet;
@@ -48,8 +50,9 @@
     struct sas_steering *steering;
 };
 
-/* Opening and closing: Run ends after SIGTERM or SIGINT, when callers have
- * been served out. 0: a graceful stop; 1: it could not start. */
+/* Open returns NULL with an error if an address can't be bound. Run returns 0
+ * after the graceful shutdown that SIGTERM or SIGINT begins, when pending
+ * requests have been answered. */
 struct sas_gateway *SasGateway_Open(const struct sas_gateway_options *options,
                                     struct sas_error *error);
 int SasGateway_Run(struct sas_gateway *gateway);
@@ -58,12 +61,12 @@
 /* After Run: milliseconds until the rest of the process has to be closed. */
 int64_t SasGateway_GetTimeLeft(const struct sas_gateway *gateway);
 
-/* GetMesh: the other entry VMs, for the source of the model and the sheet. */
+/* State. GetMesh: the group of entry VMs, for the source and the sheet. */
 bool SasGateway_IsReady(const struct sas_gateway *gateway);
 struct sas_mesh *SasGateway_GetMesh(const struct sas_gateway *gateway);
 struct sas_metrics *SasGateway_GetMetrics(const struct sas_gateway *gateway);
 
-/* Calls reload on SIGHUP, and when the file at the path has changed. */
+/* Calls reload on SIGHUP and when the file at the path has changed. */
 void SasGateway_SetReload(struct sas_gateway *gateway, const char *path,
                           void (*reload)(void *data), void *data);
 
--- a/packages/gateway/src/endpoints.c
+++ b/packages/gateway/src/endpoints.c
@@ -13,8 +13,8 @@
     SasHttpExchange_ReplyText(exchange, status, type, text, NULL);
 }
 
-/* The value of a query parameter; names of places need no decoding beyond
- * what GLib does. Free with g_free. */
+/* Returns the decoded value of a query parameter, NULL if it is missing. Free
+ * with g_free. */
 static char *
 get_parameter(const char *target, const char *name)
 {
--- a/packages/gateway/src/endpoints.h
+++ b/packages/gateway/src/endpoints.h
@@ -1,8 +1,8 @@
-/* directory - answers callers which entry VMs to use, and operators whether
- * this one is ready, its metrics and its view.
+/* endpoints - HTTP handlers for callers' lookups of entry VMs, and for
+ * operators: readiness, metrics and the view of the system.
  *
- * The two have handlers of their own: callers' port tells nothing of what is
- * inside.
+ * Callers and operators have separate handlers on separate ports, so that
+ * callers can't read internal state.
  */
 #ifndef SAS_ENDPOINTS_H
 #define SAS_ENDPOINTS_H
--- a/packages/gateway/src/gateway.c
+++ b/packages/gateway/src/gateway.c
@@ -12,17 +12,17 @@
 
 #define SWEEP_MS 500
 
-/* Of the memory limit, what bodies may take: the rest is for the connections
- * (two buffers of the kernel's each) and the answers on their way. */
+/* Share of the memory limit that request bodies may take. The rest is for the
+ * connections (two kernel buffers each) and for answers in flight. */
 #define BODIES_SHARE 0.35
 
-/* Descriptors kept for backend servers, the store and files. */
+/* Descriptors reserved for backend servers, the store and files. */
 #define OTHER_DESCRIPTORS 1200
 
-/* The settings file may change without a signal. */
+/* The settings file may change without a SIGHUP, so it is polled. */
 #define FILE_POLL_MS 3000
 
-/* An idle connection of a process that is to end. */
+/* Callers' idle connections are closed after this time during a shutdown. */
 #define STOP_IDLE_MS 1500
 
 #define STOP_CHECK_MS 50
@@ -58,10 +58,10 @@
     uv_timer_t sweep_timer;
     uv_timer_t stop_timer;
     uv_signal_t signals[3];
-    uv_fs_poll_t settings_poll; /* the settings */
-    int open_handles; /* of those above, while they are being closed */
+    uv_fs_poll_t settings_poll;
+    int open_handles; /* of the handles above, while they are being closed */
     struct sas_stop_plan stop_plan;
-    bool was_drained; /* at the check before */
+    bool was_drained; /* at the previous shutdown check */
     void (*reload)(void *data);
     void *reload_data;
 };
@@ -111,7 +111,7 @@
     struct sas_gateway *gateway = (struct sas_gateway *)listener;
     SasMesh_SetVersion(gateway->mesh, config->version);
     if (gateway->servers[LISTEN_CALLER] == NULL) {
-        return; /* the process ends */
+        return; /* the process is shutting down */
     }
     struct sas_http_server_limits limits = get_caller_limits(gateway);
     SasHttpServer_SetLimits(gateway->servers[LISTEN_CALLER], &limits);
@@ -259,8 +259,8 @@
     for (int i = 0; i < 3; i++) {
         close_handle(gateway, (uv_handle_t *)&gateway->signals[i]);
     }
-    /* Not until the loop is empty: others may have handles on it, and the
-     * admin port's HTTP library never gives up its timers. */
+    /* Doesn't wait for an empty loop: others may have handles on it, and the
+     * admin port's HTTP library never closes its timers. */
     while (gateway->open_handles > 0) {
         uv_run(gateway->loop, UV_RUN_ONCE);
     }
@@ -301,7 +301,8 @@
                      uv_strerror(status));
         return;
     }
-    SasLog_Write(SasLog_INFO, "process.reload", "", "the file has changed");
+    SasLog_Write(SasLog_INFO, "process.reload", "",
+                 "the settings file has changed");
     gateway->reload(gateway->reload_data);
 }
 
@@ -328,8 +329,8 @@
     }
 }
 
-/* Stopping: out of the look-ups and not ready at once; requests that still
- * come are served, for callers keep what they were told for a while. */
+/* Shutdown. The entry VM leaves the lookups and reports "not ready" at once.
+ * It still serves new requests, since callers cache lookups for a while. */
 
 static void
 begin_stop(struct sas_gateway *gateway, int number)
@@ -358,13 +359,14 @@
     if (busy > 0) {
         SasLog_Write(
             SasLog_ERROR, "process.stop", "",
-            "connections=%d requests=%d are cut off at the stop's limit", busy,
+            "connections=%d requests=%d are closed at the shutdown deadline",
+            busy,
             SasHttpServer_CountExchanges(gateway->servers[LISTEN_CALLER]));
     }
     uv_timer_stop(&gateway->stop_timer);
     gateway->source->stop(gateway->source);
-    /* Closing the other parts runs the loop again: from here on nothing may be
-     * taken. */
+    /* SasGateway_Close runs the loop again; no connection may be accepted
+     * then. */
     close_servers(gateway);
     uv_stop(gateway->loop);
 }
@@ -388,13 +390,13 @@
         .connections = SasHttpServer_CountConnections(callers),
         .busy = SasHttpServer_CountBusy(callers),
     };
-    bool over = SasStop_IsOver(&gateway->stop_plan, now_ms, &left);
-    /* After a pause of the process callers may wait at the port: the sockets
-     * are read once more before it ends. */
-    bool settled =
+    bool drained = SasStop_IsOver(&gateway->stop_plan, now_ms, &left);
+    /* If the process was frozen, unread requests may wait on the sockets. So
+     * they are read once more, until the next check, before it ends. */
+    bool confirmed =
         gateway->was_drained || SasStop_IsAtLimit(&gateway->stop_plan, now_ms);
-    gateway->was_drained = over;
-    if (over && settled) {
+    gateway->was_drained = drained;
+    if (drained && confirmed) {
         end_process(gateway, left.busy);
     }
 }
--- a/packages/gateway/src/view.h
+++ b/packages/gateway/src/view.h
@@ -1,10 +1,10 @@
-/* view - what this entry VM believes just now, as JSON, for operators who
- * compare it with what another one believes.
+/* view - this entry VM's current view of the system as JSON, so that operators
+ * can compare the views of several entry VMs.
  *
- * Members: vm, zone, now_ms, config (version, age_ms), vms (name, zone, state,
- * age_ms), servers (id, service, zone, state, load, load_age_ms, in_flight,
- * shunned_ms), zones (name, evacuated); with an object also owners, the ids
- * of its servers in order.
+ * Fields: vm, zone, now_ms, config (version, age_ms, routes; null before the
+ * first), vms (name, zone, state, age_ms), servers (id, service, zone, state,
+ * load, load_age_ms, in_flight, shunned_ms), zones (name, evacuated); with an
+ * object also owners, the ids of its servers in order of preference.
  */
 #ifndef SAS_VIEW_H
 #define SAS_VIEW_H
@@ -15,13 +15,13 @@
 #include "sas/fleet.h"
 #include "sas/steering.h"
 
-/* service and object may be NULL: no owners. */
 struct sas_view_options {
     const struct sas_fleet *fleet;
     const struct sas_mesh *mesh;
     const struct sas_steering *steering;
 };
 
+/* A new reference. service and object may be NULL: then without owners. */
 json_t *SasView_Make(const struct sas_view_options *options,
                      const char *service, const char *object, int64_t now_ms);
 
