--- a/packages/gateway/src/mesh.c
+++ b/packages/gateway/src/mesh.c
@@ -8,8 +8,9 @@
 #include "sas/log.h"
 #include "sas/strength.h"
 
-/* Failure domains whose leaders are told of a change at once. As many leaders
- * tell each one, so that it hears of it while most of them are cut off. */
+/* Failure domains whose leaders a change is announced to at once. Each leader
+ * thus gets it from as many others, also while most of them are unreachable.
+ */
 #define NOTIFIED_ZONES 4
 
 int64_t
@@ -109,7 +110,7 @@
     mesh->table_listener = listener;
 }
 
-/* The own entry VM. */
+/* This entry VM. */
 
 const struct sas_mesh_facts *
 SasMesh_GetOwn(const struct sas_mesh *mesh)
@@ -265,7 +266,7 @@
     return true;
 }
 
-/* Live ones. */
+/* Live members. */
 
 bool
 SasMesh_IsLive(const struct sas_mesh *mesh, int member_id)
--- a/packages/gateway/src/mesh.h
+++ b/packages/gateway/src/mesh.h
@@ -1,11 +1,10 @@
-/* mesh - the entry VMs that there are, and which of them live.
+/* mesh - the group of entry VMs: gossip, failure detection, leaders, lookups.
  *
- * Nobody is told of the others: an entry VM says hello to those that its
- * settings or the store name, and each datagram carries its sender's
- * addresses, so that whoever hears it knows it too. After that each round of
- * gossip goes to one of them at random and is answered; sas/membership.h
- * decides from it who lives. Messages are XDR in datagrams: a lost one is
- * made good by the next round.
+ * An entry VM sends a join message to each one that the store lists. Every
+ * datagram carries its sender's addresses, so that its receiver learns of the
+ * sender. Each gossip round then pings one random member, which replies;
+ * sas/membership.h derives the members' states from that. Messages are XDR in
+ * UDP datagrams; the next round makes up for a lost one.
  */
 #ifndef SAS_MESH_H
 #define SAS_MESH_H
@@ -20,70 +19,74 @@
 #include "sas/quarantine.h"
 
 #define SasMesh_MAX_VMS 2048
-#define SasMesh_MAX_ADDRESSES 8 /* addresses in one answer to a look-up */
+#define SasMesh_MAX_ADDRESSES 8 /* in one answer to a lookup */
 
 struct sas_mesh;
 
+/* What an entry VM announces of itself. */
 struct sas_mesh_facts {
     char name[SasModel_NAME_SIZE];
     char zone[SasModel_NAME_SIZE];
     struct sas_address caller;
     struct sas_address peer;
-    uint64_t incarnation; /* wall-clock ms of its start */
-    double capacity;      /* requests a second that it can carry */
+    uint64_t incarnation; /* start of its process, wall clock, ms */
+    double capacity;      /* requests/s */
 };
 
-/* Who hears of backend servers that others have stopped sending to; embed it
- * as first member. left_ms 0: the server is well again. */
+/* Report of an entry VM that a backend server is ejected for left_ms more, or
+ * has recovered (0). */
 struct sas_mesh_ejection {
     uint64_t server_hash;
     int64_t left_ms;
-    bool restarted;    /* well again, and had not taken connections */
-    bool grey_failure; /* no trip: it fails part of its requests */
+    bool restarted;    /* recovered after it had refused connections */
+    bool grey_failure; /* not ejected: it fails part of its requests */
 };
 
-/* A request that ran on a backend server when it crashed, or (survived) that
- * has run to its end since. */
+/* Report that a request ran on a backend server when it crashed, or that it
+ * has completed since. */
 struct sas_mesh_poison_update {
     struct sas_fingerprint fingerprint;
-    uint64_t crash;
-    bool isolated;
+    uint64_t crash; /* of SasQuarantine_GetCrash; ignored if completed */
+    bool isolated;  /* no other request was known to run there */
     bool completed;
 };
 
-/* Requests that a backend server failed, and those that it answered since the
- * last such news of the same entry VM. */
+/* Requests that a backend server failed for an entry VM, and those that it
+ * answered since that entry VM's previous report. */
 struct sas_mesh_failure_report {
     uint64_t server_hash;
     int failed;
     int answered;
 };
 
+/* Receives reports of other entry VMs. */
 struct sas_mesh_listener {
     void (*on_ejection)(struct sas_mesh_listener *listener,
                         const struct sas_mesh_ejection *ejection);
     void (*on_poison_update)(struct sas_mesh_listener *listener,
                              const struct sas_mesh_poison_update *update);
-    /* Another one's news; this entry VM is the server's tester. */
+    /* Only called at the server's prober. */
     void (*on_failure_report)(struct sas_mesh_listener *listener,
                               const struct sas_mesh_failure_report *report);
-    /* Entry VM number i has other records (SasMesh_SetRecordsDigest), as one
-     * that has just started has none. */
+    /* Member i has another digest of its crash records
+     * (SasMesh_SetRecordsDigest), for example since it has just started. */
     void (*on_digest_mismatch)(struct sas_mesh_listener *listener, int i);
-    /* All that another one knows of one request that crashes servers. */
+    /* The crash record of one request, see SasMesh_SendRecord. */
     void (*on_record)(struct sas_mesh_listener *listener,
                       const struct sas_quarantine_entry *entry);
 };
 
-/* Who hears of changes in the tables that all entry VMs follow, a number each
- * that is the same for all; embed it as first member. teller has the change,
- * and answers at this address. */
+/* Receives versions of the tables that all entry VMs follow. Tables are
+ * numbered, with the same numbers everywhere. The announcer has the change
+ * and answers requests for it at this address. */
 struct sas_mesh_table_listener {
     void (*on_change)(struct sas_mesh_table_listener *listener, int table,
                       int64_t version, const struct sas_address *announcer);
 };
 
-/* Opening and closing. */
+/* Opening and closing. Open returns NULL with an error if the own zone is not
+ * known or the peer address can't be bound. The listener must be set before
+ * the loop runs; the table listener may be missing. */
 struct sas_mesh *SasMesh_Open(uv_loop_t *loop, struct sas_fleet *fleet,
                               const struct sas_entry_settings *settings,
                               GRand *random, struct sas_error *error);
@@ -99,105 +102,112 @@
 bool SasMesh_IsOwnRegion(const struct sas_mesh *mesh, int region);
 void SasMesh_SetVersion(struct sas_mesh *mesh, int64_t config_version);
 
-/* The version of the operators' sheet: Note makes it known to all, Get is the
- * highest that anybody has named. */
+/* The version of the operators' sheet: Note announces it to all members, Get
+ * returns the highest that any member has announced. */
 void SasMesh_NoteSheet(struct sas_mesh *mesh, int64_t version);
 int64_t SasMesh_GetSheet(const struct sas_mesh *mesh);
 
-/* This entry VM has a change of a table. Every message names the newest; where
- * this one leads its failure domain, the leaders of the next few are told at
- * once: they pass it on where the store doesn't. */
+/* This entry VM has a change of a table. Every later message carries the
+ * newest version. The leader of a failure domain also announces it at once to
+ * the leaders of the next few, in case the store doesn't answer them. */
 void SasMesh_NoteChange(struct sas_mesh *mesh, int table, int64_t version);
 
-/* Tells everybody that this process ends soon. */
+/* Announces to all members that this process ends soon. */
 void SasMesh_Leave(struct sas_mesh *mesh);
 
-/* Another entry VM, from the store: it is greeted at once. */
+/* Adds another entry VM, which the store lists, and sends it a join message
+ * at once. */
 void SasMesh_AddVm(struct sas_mesh *mesh, const struct sas_mesh_facts *facts);
 
-/* What is believed of entry VM number i, from 0, the own one first; false:
- * there is none. */
+/* State of member i as this entry VM sees it; 0 is this entry VM. False: there
+ * is no such member. */
 struct sas_mesh_view {
     const char *name;
     const char *zone;
     const char *state;
-    int64_t age_ms; /* of its last sign of life */
+    int64_t age_ms; /* since its last heartbeat or message */
 };
 
 bool SasMesh_GetView(const struct sas_mesh *mesh, int i,
                      struct sas_mesh_view *view);
 
-/* Operators have taken entry VM number i out: look-ups don't name it. */
+/* The operators' sheet withdraws member i: lookups leave it out. */
 void SasMesh_SetWithdrawn(struct sas_mesh *mesh, int i, bool withdrawn);
 
-/* Fills in gone, by region: it had entry VMs and none is live. All false
- * while this one hears nobody; it is the one that is cut off then. */
+/* Fills in down, by region: true if it had entry VMs and none is live. All
+ * false while this entry VM is partitioned. */
 void SasMesh_FindGone(const struct sas_mesh *mesh, bool *down);
 
-/* Live ones, this one included. */
+/* Number of live members, this one included. */
 int SasMesh_Count(const struct sas_mesh *mesh);
 
-/* The callers' addresses of the strongest live entry VMs in the zone, or where
- * too little of it is left in its region (region, where zone is NONE), or
- * where too little of that is left anywhere. How many; at most max. */
+/* Fills in the callers' addresses of the live entry VMs in the zone with the
+ * highest capacity; of the whole region if too little of the zone's capacity
+ * is live, or zone is NONE; of all regions if too little of the region's is.
+ * Returns their number, at most max. */
 int SasMesh_Lookup(struct sas_mesh *mesh, int zone, int region,
                    struct sas_address *addresses, int max);
 
-/* Tells of a backend server, see on_trip: the tester all others, anybody else
- * the tester alone (nobody, where the server's region has no entry VM).
- * Hundreds that meet a slow server at the same time and tell everybody would
- * send a datagram for each pair of them. */
+/* Reports an ejected, recovered or partly failing server. The prober reports
+ * to all members, any other entry VM only to the prober (to none, if the
+ * server's region has no live entry VM). If hundreds of entry VMs that notice
+ * a slow server at the same time reported to all, there would be a datagram
+ * for each pair of them. */
 void SasMesh_ReportEjection(struct sas_mesh *mesh,
                             const struct sas_mesh_ejection *ejection,
                             int region);
 
-/* Tells the server's tester; nobody where that is this one. */
+/* Reports to the server's prober, if that is another entry VM. */
 void SasMesh_ReportFailures(struct sas_mesh *mesh,
                             const struct sas_mesh_failure_report *report,
                             int region);
 
-/* Whether this entry VM is the first of all live ones in the hash's order.
- * TellSuspect goes to that one of the first row's fingerprint (low), or to
- * all. */
+/* Whether this entry VM ranks first for the hash among all live members, by
+ * rendezvous hashing. ReportPoison sends the rows to the one that ranks first
+ * for the low part of the first row's fingerprint, or to all. */
 bool SasMesh_IsFirst(const struct sas_mesh *mesh, uint64_t hash);
 void SasMesh_ReportPoison(struct sas_mesh *mesh,
                           const struct sas_mesh_poison_update *rows, int count,
                           bool to_all);
 
-/* Records: what is known of requests that crash servers. Each message names
- * their digest, and who hears of another one is called (on_differ), now and
- * then for as long as it is. SendRecord goes to number i. */
+/* Crash records of suspected poison requests. Every message carries the
+ * digest of the sender's records; a receiver with another digest calls
+ * on_digest_mismatch, at most every 500 ms for each sender. SendRecord sends
+ * one record to member i. */
 void SasMesh_SetRecordsDigest(struct sas_mesh *mesh, uint64_t digest);
 void SasMesh_SendRecord(struct sas_mesh *mesh,
                         const struct sas_quarantine_entry *entry, int i);
 
-/* Whether this entry VM tries a tripped server again for all others: the first
- * of the live ones of the server's region, in an order of the server's own.
- * Each of them trying by itself would cost a request each. Where the region
- * has lost all its entry VMs, each of the others does. */
+/* Whether this entry VM is the server's prober: it ranks first for the server
+ * among the live ones of the server's region. The prober alone sends the probe
+ * request to a half-open server; if each entry VM did, each would risk a
+ * request. If the region has no live entry VM, every other one is a prober. */
 bool SasMesh_IsProber(const struct sas_mesh *mesh, uint64_t server_hash,
                       int region);
 
-/* How many entry VMs of a region may be sending to a server of it, and the
- * place of this one among them, for limits that they share. At any moment the
- * parts that are used must not add up to more than the whole, whatever each
- * believes. So one that is leaving, suspect or gone for a short while keeps
- * its part, which it may still be using; and one that has just started, or
- * was frozen, has none (joined is false) until the others have heard of it
- * and what they sent with its part is a second old. */
+/* Number of entry VMs of a region that may be sending to one of its servers,
+ * and this one's rank among them, from 0, for limits that they share.
+ *
+ * The shares in use must never add up to more than the limit, even while the
+ * members' views differ. So an entry VM that is leaving, suspected or has been
+ * dead for less than 10 s keeps its share, since it may still use it. One that
+ * has started or was frozen has none for 2 s, until the others know of it and
+ * what they sent with its share is a second old. */
 struct sas_mesh_senders {
     int count;
     int rank;
-    bool has_share; /* this one may use its part */
+    bool has_share; /* this entry VM may use its share */
 };
 
 struct sas_mesh_senders SasMesh_GetSenders(const struct sas_mesh *mesh,
                                            uint64_t server_hash, int region);
 
-/* Among the live ones of the own failure domain the strongest, of several the
- * first by the hash of its name: all of them agree on it without a message,
- * and where their views differ for a while two ask instead of one. False when
- * it is this one. */
+/* The leader of the own failure domain: the live entry VM with the highest
+ * capacity, at a tie the one with the lowest hash of its name. Members need no
+ * message to agree on it; while their views differ, two of them poll the
+ * store. Returns false if this entry VM is the leader.
+ *
+ * PickPeer picks a random live member; false if there is none. */
 bool SasMesh_FindLeader(const struct sas_mesh *mesh, struct sas_address *peer);
 bool SasMesh_PickPeer(struct sas_mesh *mesh, struct sas_address *peer);
 
--- a/packages/gateway/src/mesh_gossip.c
+++ b/packages/gateway/src/mesh_gossip.c
@@ -1,4 +1,4 @@
-/* What entry VMs tell each other: datagrams, rounds of gossip, replies. */
+/* Gossip between entry VMs: rounds, pings and replies, datagrams. */
 #include "mesh_internal.h"
 
 #include <string.h>
@@ -10,28 +10,32 @@
 #include "sas/log.h"
 #include "sas/wall.h"
 
-#define MAX_DATAGRAM 1400
+#define MAX_DATAGRAM 1400 /* bytes */
 
-/* Whoever has heard from an entry VM itself so lately doesn't believe
- * another's doubt of it: a doubt is raised 1.8 s after a question that got no
- * reply, so that one of a dead entry VM is never refused by this. Without it a
- * cut between two zones would make each doubt the other for everybody. */
+/* Another's suspicion of a member is ignored if the member itself sent a
+ * message this recently. A suspicion is raised 1.8 s after the first
+ * unanswered ping, so that of a dead member always counts. Without this, a
+ * partition between two zones would make each suspect the other's members, and
+ * all others would believe them. */
 #define RECENT_CONTACT_MS 1500
 
-/* Clocks of VMs are close to the true time; the users know steps of two
- * seconds. */
+/* Older or newer messages are dropped as replays. VM clocks are synchronized;
+ * steps of 2 s have been seen. */
 #define MAX_SKEW_MS 30000
 
-/* More than one entry VM sends to one server in a window. */
+/* Cap for the counts of a failure report. One entry VM sends fewer requests to
+ * a server within the window. */
 #define MAX_REPORTED 10000u
 
-/* Others take the part of one that is silent for longer. */
+/* After a longer gap between rounds the process counts as frozen: others take
+ * over the share of an entry VM that is unresponsive for longer. */
 #define MAX_ROUND_DELAY_MS 1000
 
-/* Between two times that an entry VM is told of records that differ. */
+/* Least time between two transfers of records to the same member. */
 #define RECORDS_INTERVAL_MS 500
 
-/* One that starts greets all others. About so many of them tell it. */
+/* A joining entry VM sends a message to all members. On average this many of
+ * them send it their records. */
 #define JOIN_RECORD_SENDERS 8
 
 static void on_round(uv_timer_t *timer);
@@ -48,7 +52,7 @@
 
 /* Opening. */
 
-/* The port that others are to use, also where the kernel chose it. */
+/* Reads the bound port, which the kernel has chosen if the settings have 0. */
 static void
 read_port(struct sas_mesh *mesh)
 {
@@ -89,7 +93,7 @@
     return 0;
 }
 
-/* Rounds. */
+/* Gossip rounds. */
 
 static void
 log_state_changes(struct sas_mesh *mesh)
@@ -112,10 +116,9 @@
     }
 }
 
-/* A question, and what becomes of one that gets no reply. The age of news
- * alone tells late of a death where each message holds news of a few of all:
- * 12 s with 70 entry VMs and a minute with 300, in which callers are sent to a
- * dead one. */
+/* Pings and their timeouts. A message holds updates of only some members, so
+ * the age of updates alone reveals a dead member late: after 12 s with 70
+ * entry VMs and a minute with 300. Callers would be sent to it until then. */
 
 static void
 ping(struct sas_mesh *mesh, int member_id)
@@ -137,7 +140,7 @@
         SasLog_Write(
             SasLog_INFO, "mesh.doubt",
             SasMesh_GetVm(mesh, member_id)->facts.name,
-            "no reply to two questions, age_ms=%" G_GINT64_FORMAT,
+            "no reply to two pings, age_ms=%" G_GINT64_FORMAT,
             SasMembership_GetAge(&mesh->table, member_id, SasMesh_Now(mesh)));
         broadcast_member(mesh, member_id);
     }
@@ -165,7 +168,7 @@
     }
 }
 
-/* A process that was frozen has rounds missing. */
+/* Detects that the process was frozen: gossip rounds are missing. */
 static void
 note_freeze(struct sas_mesh *mesh, int64_t now_ms)
 {
@@ -174,7 +177,7 @@
     if (missed_ms > MAX_ROUND_DELAY_MS) {
         mesh->resumed_at = now_ms;
         SasLog_Write(SasLog_WARN, "mesh.pause", "",
-                     "this process stood still for %" G_GINT64_FORMAT " ms",
+                     "this process was frozen for %" G_GINT64_FORMAT " ms",
                      missed_ms);
     }
     mesh->last_round_at = now_ms;
@@ -206,7 +209,8 @@
     }
 }
 
-/* To the first one alone; where that is this one, or with to_all, to all. */
+/* Sends to the member that ranks first; to all live members if that is this
+ * one or to_all is set. */
 static void
 send_via(struct sas_mesh *mesh, sas_mesh_message *message, int first,
          bool to_all)
@@ -261,7 +265,7 @@
     }
 }
 
-/* How many rows fit; they are the message's. */
+/* Points the message to its suspects, a copy of the rows that fit. */
 static void
 fill_suspects(sas_mesh_message *message, sas_mesh_suspect *suspects,
               const struct sas_mesh_poison_update *rows, int count)
@@ -346,9 +350,9 @@
     *count = (u_int)filled;
 }
 
-/* Datagrams are proved by the key that all entry VMs share, where there is
- * one: whoever reaches the port could otherwise name entry VMs and shun
- * servers. */
+/* Datagrams are signed with the key that all entry VMs share, if there is one.
+ * Otherwise anyone who reaches the port could add entry VMs or have servers
+ * ejected. */
 
 static const struct sas_proto_session no_session;
 
@@ -363,7 +367,7 @@
     return size + SasProto_MAC_SIZE;
 }
 
-/* The size of the message; 0: it is not one of ours. */
+/* Size of the message without its signature; 0 if the signature is wrong. */
 static unsigned
 verify(const struct sas_mesh *mesh, const char *bytes, unsigned size)
 {
@@ -381,8 +385,8 @@
     return authentic ? size : 0;
 }
 
-/* One that was recorded could be sent again: that a server has tripped, or
- * that this entry VM leaves. */
+/* Guards against replays, for example of an ejection or of a message that an
+ * entry VM is leaving. */
 static bool
 is_fresh(const struct sas_mesh *mesh, const sas_mesh_message *message)
 {
@@ -390,7 +394,7 @@
     return mesh->key == NULL || ABS(age_ms) <= MAX_SKEW_MS;
 }
 
-/* Tables up to the last one of which a change is known. */
+/* Number of tables up to the last one with a known version. */
 static u_int
 count_changes(const struct sas_mesh *mesh)
 {
@@ -401,7 +405,7 @@
     return count;
 }
 
-/* Fills in the sender and sends. */
+/* Fills in the sender, signs and sends. */
 static void
 send_with_records(struct sas_mesh *mesh, const struct vm *vm,
                   sas_mesh_message *message, sas_mesh_trailer *trailer)
@@ -427,7 +431,8 @@
         xdr_sas_mesh_trailer(&xdr, trailer)) {
         unsigned size = sign(mesh, bytes, xdr_getpos(&xdr));
         uv_buf_t buffer = uv_buf_init(bytes, size);
-        /* A full socket loses the datagram, as the network may. */
+        /* If the socket's buffer is full the datagram is lost, as it may be
+         * in the network. */
         uv_udp_try_send(&mesh->socket, &buffer, 1,
                         (const struct sockaddr *)&vm->peer);
     }
@@ -464,8 +469,8 @@
     *buffer = uv_buf_init(bytes, sizeof(bytes));
 }
 
-/* Tells everybody of one entry VM, at once: the usual messages hold a part of
- * what is known, and a change goes into some of them only. */
+/* Sends the update of one member to all others at once: only some of the
+ * regular messages have room for it. */
 static void
 broadcast_member(struct sas_mesh *mesh, int member_id)
 {
@@ -475,15 +480,16 @@
     sas_mesh_message message = {
         .news = {.news_len = 1, .news_val = &row},
     };
-    /* To itself as well: it may live, and refutes what it hears. */
+    /* Also to the member itself: if it is live, it refutes a suspicion. */
     for (int to = OWN_ID + 1; to < (int)mesh->vms->len; to++) {
         send_message(mesh, SasMesh_GetVm(mesh, to), &message);
     }
 }
 
-/* A process that started while its clock had gone back is older, by its
- * incarnation, than the one before it: whatever it says is dropped, and it
- * passes for dead. So it is told of the one before it, and renews itself. */
+/* If the clock was set back before a process started, its incarnation is lower
+ * than that of the previous process. Its updates are dropped then, and it
+ * would count as dead. So it is sent the higher incarnation, and renews its
+ * own. */
 static void
 correct_sender(struct sas_mesh *mesh, const struct sas_mesh_facts *sender,
                const struct vm *known)
@@ -512,7 +518,7 @@
     }
     struct vm *own = SasMesh_GetVm(mesh, OWN_ID);
     SasLog_Write(SasLog_WARN, "mesh.renew", own->facts.name,
-                 "an earlier process of this entry VM looks newer: "
+                 "raised above the incarnation of an earlier process: "
                  "incarnation=%" G_GUINT64_FORMAT " was=%" G_GUINT64_FORMAT,
                  incarnation, own->facts.incarnation);
     own->facts.incarnation = incarnation;
@@ -578,7 +584,7 @@
     bool refuted = update.seat == OWN_ID && (changes & SAS_CHANGE_MEMBER) != 0;
     if (refuted) {
         SasLog_Write(SasLog_INFO, "mesh.refute", "",
-                     "another entry VM had no reply from this one");
+                     "another entry VM suspected this one");
         broadcast_member(mesh, OWN_ID);
     }
 }
@@ -607,7 +613,7 @@
     }
 }
 
-/* The records of a message are all of one request. */
+/* A message holds the records of one request only. */
 static void
 apply_records(const struct sas_mesh *mesh, const sas_mesh_trailer *trailer)
 {
@@ -636,8 +642,9 @@
     return message->news.news_len <= JOIN_UPDATES;
 }
 
-/* Who differs is told until it doesn't: whoever should have told it may have
- * been away itself, and a datagram is lost now and then. */
+/* Records are sent to a member with another digest until it has the same: the
+ * datagram may be lost, and the member that should have sent them may have
+ * been unreachable. */
 static void
 compare_records(struct sas_mesh *mesh, int member_id,
                 const sas_mesh_message *message,
@@ -702,7 +709,7 @@
     }
 }
 
-/* A process of before there was a trailer sends none. */
+/* Older versions send no trailer. */
 static bool
 decode_trailer(XDR *xdr, unsigned size, sas_mesh_trailer *trailer)
 {
@@ -723,8 +730,7 @@
     unsigned size = verify(mesh, data->base, (unsigned)count);
     if (size == 0) {
         SasLog_Write(SasLog_WARN, "mesh.refuse", "",
-                     "a datagram of %zd bytes is not signed with our key",
-                     count);
+                     "a datagram of %zd bytes has a wrong signature", count);
         return;
     }
     XDR xdr;
@@ -734,14 +740,14 @@
     if (decoded && message.format == SAS_MESH_FORMAT &&
         !is_fresh(mesh, &message)) {
         SasLog_Write(SasLog_WARN, "mesh.refuse", message.sender.name,
-                     "a datagram was sent too long ago, or a clock is wrong");
+                     "a datagram is too old, or a clock is wrong");
     }
     else if (decoded && message.format == SAS_MESH_FORMAT) {
         apply_message(mesh, &message, &trailer);
     }
     else {
         SasLog_Write(SasLog_WARN, "mesh.decode", "",
-                     "a datagram of %zd bytes is not a message", count);
+                     "a datagram of %zd bytes can't be decoded", count);
     }
     xdr_destroy(&xdr);
     xdr_free((xdrproc_t)xdr_sas_mesh_message, (char *)&message);
--- a/packages/gateway/src/mesh_internal.h
+++ b/packages/gateway/src/mesh_internal.h
@@ -1,5 +1,5 @@
-/* mesh_seats - what mesh.c, mesh_order.c and mesh_talk.c share: the table of
- * entry VMs by seat, the own one first. */
+/* mesh_internal - shared by mesh.c, mesh_gossip.c, mesh_lookup.c and
+ * mesh_ranking.c: the table of entry VMs, by member id. */
 #ifndef SAS_MESH_INTERNAL_H
 #define SAS_MESH_INTERNAL_H
 
@@ -11,9 +11,9 @@
 
 #define OWN_ID 0
 
-/* News in a greeting: of this one alone, which a digest begins with. At a
- * start everybody greets everybody; with all news in each greeting 300 entry
- * VMs would send each other 0.2 GB. */
+/* Updates in a join message: only that of the sender, which is always the
+ * first. At a common start all send one to all; with the full digest in each,
+ * 300 entry VMs would send 0.2 GB. */
 #define JOIN_UPDATES 1
 
 struct vm { /* an entry VM */
@@ -23,14 +23,14 @@
     bool withdrawn; /* by the operators' sheet */
     struct sockaddr_storage peer;
     enum sas_member_state logged_state; /* state in the last log line */
-    int64_t mismatch_at; /* its records, when last noted; 0: never */
+    int64_t mismatch_at; /* last handled mismatch of records; 0: none */
 };
 
 struct sas_mesh {
     uv_loop_t *loop;
     uv_udp_t socket;
     uv_timer_t round_timer;
-    uv_timer_t reply_timer; /* runs while questions wait for theirs */
+    uv_timer_t reply_timer; /* runs while pings wait for a reply */
     struct sas_exchanges pings;
     int open_handles;
     struct sas_fleet *fleet;
@@ -39,12 +39,12 @@
     struct sas_membership table;
     struct sas_mesh_listener *listener;
     struct sas_mesh_table_listener *table_listener; /* NULL: none */
-    u_quad_t changes[SAS_MESH_MAX_TABLES]; /* the own newest, by table */
-    int64_t sheet_version;                 /* the highest heard of */
+    u_quad_t changes[SAS_MESH_MAX_TABLES]; /* own newest version, by table */
+    int64_t sheet_version;                 /* highest announced */
     uint64_t records_digest;
-    int64_t resumed_at;        /* its start, or the end of its last pause */
-    int64_t last_round_at;     /* the last round of gossip */
-    struct sas_proto_key *key; /* NULL: none */
+    int64_t resumed_at;        /* start of the process, or end of a freeze */
+    int64_t last_round_at;     /* last gossip round */
+    struct sas_proto_key *key; /* shared by all entry VMs; NULL: none */
     uint8_t lookup_scopes[SasFleet_MAX_ZONES]; /* as last logged, by zone */
 };
 
@@ -54,24 +54,28 @@
 int SasMesh_GetRegion(const struct sas_mesh *mesh, int member_id);
 bool SasMesh_IsLive(const struct sas_mesh *mesh, int member_id);
 int SasMesh_FindMember(const struct sas_mesh *mesh, uint64_t name_hash);
-/* The seat of an entry VM, with its newest addresses; SasModel_NONE where
- * there is no room or its zone is not known. */
+/* Adds an entry VM, or updates it if the facts have a higher incarnation.
+ * Returns its member id; SasModel_NONE if the table is full, its zone is not
+ * known or its address can't be parsed. */
 int SasMesh_LearnVm(struct sas_mesh *mesh, const struct sas_mesh_facts *facts);
 
-/* mesh_order.c: the first of the live ones in the hash's order, of one region
- * or (NONE) of all; SasModel_NONE where there is none. */
+/* mesh_ranking.c */
+/* The member that ranks first for the hash by rendezvous hashing, among the
+ * live ones of a region or (NONE) of all; SasModel_NONE if none is live. */
 int SasMesh_FindFirst(const struct sas_mesh *mesh, uint64_t hash, int region);
-/* The seat that leads a failure domain; NONE where nobody there is live. */
+/* The leader of a failure domain; NONE if it has no live member. */
 int SasMesh_FindZoneLeader(const struct sas_mesh *mesh, int zone);
 
-/* mesh_talk.c */
-/* Opens the socket and begins the rounds; -1 with an error where the address
- * is not to be had, or the own seat (seated) is not. */
+/* mesh_gossip.c */
+/* Opens the socket and starts the gossip rounds; -1 with an error if the
+ * address can't be bound or the own entry VM could not be added (own_added).
+ */
 int SasMesh_OpenGossip(struct sas_mesh *mesh, bool own_added,
                        struct sas_error *error);
+/* Sends a message with at most max updates, the own one first. */
 void SasMesh_SendUpdates(struct sas_mesh *mesh, const struct vm *vm, int max,
                          bool wants_reply);
-/* All that fits into a message, to everybody. */
+/* Sends a message with as many updates as fit to every other member. */
 void SasMesh_Broadcast(struct sas_mesh *mesh);
 
 #endif
--- a/packages/gateway/src/mesh_lookup.c
+++ b/packages/gateway/src/mesh_lookup.c
@@ -1,14 +1,14 @@
-/* Which entry VMs a look-up names. */
+/* Selects the entry VMs that a lookup returns. */
 #include "mesh_internal.h"
 
 #include "sas/log.h"
 #include "sas/strength.h"
 
-/* An entry VM that was heard of so lately is part of what its zone usually
- * has: one that restarts or was killed, not one that was taken away. */
+/* Dead members count towards their zone's total capacity for this time: they
+ * may be restarting or have been killed. Later they count as removed. */
 #define RECENT_MEMBER_MS 600000
 
-/* How far callers are sent. */
+/* Where a lookup's addresses are taken from. */
 enum scope {
     ZONE,
     REGION,
@@ -16,7 +16,7 @@
     SCOPES
 };
 
-/* A zone, or where that is NONE a region, or where that is NONE too all. */
+/* A zone; if that is NONE, a region; if that is NONE too, everywhere. */
 struct place {
     int zone;
     int region;
@@ -72,7 +72,7 @@
     return count;
 }
 
-/* What callers can be sent to there now, as a part of what it usually has. */
+/* Capacity of the place's eligible members as a share of its total. */
 static double
 get_remaining_share(const struct sas_mesh *mesh, const struct place *place)
 {
@@ -90,7 +90,7 @@
     return total > 0 ? remaining / total : 0;
 }
 
-/* One decision a zone is logged, not one a look-up. */
+/* Logs the scope of a zone's lookups when it changes. */
 static void
 log_scope(struct sas_mesh *mesh, int zone, enum scope scope, double remaining)
 {
@@ -104,8 +104,8 @@
                        "named", names[scope], "part_of_zone_left", remaining);
 }
 
-/* The nearest of which enough is left for its callers, or else the one of
- * which most is left. */
+/* The nearest scope with enough remaining capacity, or else the one with the
+ * largest remaining share. */
 static enum scope
 pick_scope(const struct sas_mesh *mesh, const struct place *places,
            double *remaining)
--- a/packages/gateway/src/mesh_ranking.c
+++ b/packages/gateway/src/mesh_ranking.c
@@ -1,4 +1,4 @@
-/* Orders in which entry VMs stand for something that has a hash. */
+/* Ranks entry VMs by rendezvous hashing, and selects leaders and peers. */
 #include "mesh_internal.h"
 
 #include <xxhash.h>
@@ -11,11 +11,12 @@
     return XXH3_64bits(words, sizeof(words));
 }
 
-/* One that is gone may be cut off from the others and not from the servers. */
+/* A dead entry VM keeps its share for this time: it may be partitioned from
+ * the others but still reach the servers. */
 #define RESERVED_MS 10000
 
-/* Others hear of a start or of the end of a pause within a second; what they
- * sent until then counts for one more. */
+/* Others learn of a start or of the end of a freeze within a second. What they
+ * sent until then counts for another second. */
 #define JOIN_MS 2000
 
 static bool
@@ -51,8 +52,6 @@
     return senders;
 }
 
-/* The first of the live ones in the hash's order, of one region or (NONE) of
- * all; SasModel_NONE where there is none. */
 int
 SasMesh_FindFirst(const struct sas_mesh *mesh, uint64_t hash, int region)
 {
