--- a/packages/gateway/src/poison_requests.c
+++ b/packages/gateway/src/poison_requests.c
@@ -4,28 +4,28 @@
 
 #include "sas/log.h"
 
-/* Crashes from which on a request only runs alone, and everybody knows of
- * it. With one of them all requests of a crashed server would have to wait
- * for an idle one. */
+/* From this number of crashes on, a request runs isolated and its crashes are
+ * broadcast. With 1, all requests of a crashed server would have to wait for
+ * idle servers. */
 #define ISOLATE_CRASHES 2
 
-/* Crashes from which on it may be refused altogether. */
+/* From this number of crashes on, it may be refused. */
 #define REFUSE_CRASHES 3
 
-/* Popular requests are on many servers that go down for other reasons, and an
- * idle server may be long in coming. So a suspect is sent on as ever when it
- * has been in no crash for SUSPECT_MS, and one that was refused gets a trial
- * on an idle server after REFUSED_MS: an innocent one is out for a minute, a
- * guilty one costs a server a minute. */
+/* Popular requests often run on servers that crash for other reasons, and an
+ * idle server may not be free for a long time. So a suspected request is sent
+ * normally again ISOLATE_MS after its last crash, and a refused one gets an
+ * isolated run REFUSE_MS after it: a harmless one is refused for a minute, a
+ * harmful one costs a server a minute. */
 #define ISOLATE_MS 30000
 #define REFUSE_MS 60000
 
-/* Requests whose last crash is older are not told of any more. */
+/* Records are not shared once their last crash is older. */
 #define SHARED_MS SasQuarantine_SUSPECT_MS
 
-/* Requests that were answered whole of late, by the low part of their
- * fingerprint. One that crashes servers never is; a popular one is all the
- * time, and would otherwise be condemned by crashes that have other causes. */
+/* Recently completed requests, by the low part of their fingerprint. A poison
+ * request never completes. A popular one does all the time, and would
+ * otherwise be refused for crashes that have other causes. */
 #define COMPLETED_ROWS 4096
 #define COMPLETED_MS 30000
 
@@ -42,11 +42,11 @@
     struct sas_mesh *mesh;
     struct sas_metrics *metrics;
     struct sas_quarantine quarantine;
-    GPtrArray *crash_probes; /* struct doubt * */
+    GPtrArray *crash_probes; /* struct crash_probe * */
 };
 
-/* A request whose connection broke, until it is known whether its server
- * crashed. */
+/* A request whose connection was lost, while a probe finds out whether its
+ * server has crashed. */
 struct crash_probe {
     struct sas_pool_probe probe;
     struct sas_poison_requests *poison;
@@ -132,7 +132,7 @@
     return age_ms < ISOLATE_MS ? SAS_QUARANTINE_ALONE : SAS_QUARANTINE_ALLOW;
 }
 
-/* Telling. */
+/* Reports to other entry VMs. */
 
 static void
 note_event(struct sas_poison_requests *poison, const char *event,
@@ -153,7 +153,8 @@
             SAS_QUARANTINE_REFUSE);
 }
 
-/* All that it is still suspected of; how many rows. */
+/* Lists the crashes of the entry that are not cleared; returns their number.
+ */
 static int
 list_crashes(const struct sas_quarantine_entry *entry,
              struct sas_mesh_poison_update *rows)
@@ -171,8 +172,8 @@
     return count;
 }
 
-/* All crashes of the request go to everybody, so that an entry VM that has
- * heard of none knows as much as the keeper. */
+/* Sends all crashes of the request to all members, so that each of them knows
+ * as many as the coordinator. */
 static void
 broadcast_crashes(struct sas_poison_requests *poison,
                   struct sas_fingerprint fingerprint)
@@ -217,7 +218,7 @@
             SasMesh_SendRecord(poison->mesh, &entry, i);
         }
     }
-    update_digest(poison); /* some may have become too old */
+    update_digest(poison); /* some records may have become too old */
 }
 
 static bool
@@ -227,7 +228,7 @@
     return SasMesh_IsFirst(poison->mesh, update->fingerprint.low);
 }
 
-/* Takes a row over; true where it says something new. */
+/* Merges an update; true if it changes the crash count or the decision. */
 static bool
 merge(struct sas_poison_requests *poison,
       const struct sas_mesh_poison_update *update)
@@ -249,8 +250,8 @@
            SasPoisonRequests_Check(poison, update->fingerprint) != verdict;
 }
 
-/* A row of this entry VM's own, or one that came to it. known: crashes before
- * it. */
+/* At the coordinator: broadcasts a crash once there are ISOLATE_CRASHES, and a
+ * completion if there were as many before it. */
 static void
 forward(struct sas_poison_requests *poison,
         const struct sas_mesh_poison_update *update, int crashes_before)
@@ -284,9 +285,9 @@
     SasMesh_ReportPoison(poison->mesh, update, 1, false);
 }
 
-/* Another entry VM suspects a request that was answered here. The keeper drops
- * what it knows, and tells of it only what others know; anybody else tells the
- * keeper. */
+/* Another entry VM suspects a request that has recently completed here. The
+ * coordinator clears its own record, and broadcasts that only if it has
+ * broadcast the crashes; any other entry VM reports to the coordinator. */
 static void
 clear_request(struct sas_poison_requests *poison,
               struct sas_fingerprint fingerprint)
@@ -351,7 +352,7 @@
     }
 }
 
-/* Reports. */
+/* Events of this entry VM. */
 
 static void
 on_probed(struct sas_pool_probe *probe, bool accepts_connections)
--- a/packages/gateway/src/poison_requests.h
+++ b/packages/gateway/src/poison_requests.h
@@ -1,24 +1,24 @@
-/* suspects - requests that crash the backend servers that run them.
+/* poison_requests - finds requests that crash the backend servers that run
+ * them, and limits the damage.
  *
- * A caller whose request crashed a server sends it again, and each time
- * another server goes down with everybody's requests on it. A connection that
- * breaks under a request may as well be a lost answer or a reset on the way;
- * a new connection to the server tells: where none is taken it has crashed,
- * and every request that ran there is a suspect. sas/quarantine.h counts.
+ * A caller whose request crashed a server retries it, and each time another
+ * server goes down with all requests on it. A connection that is reset under a
+ * request doesn't prove a crash. So a probe opens a new connection: if the
+ * server accepts none it has crashed, and every request that ran there is a
+ * suspected poison request. sas/quarantine.h counts the crashes.
  *
- * After one crash a request is sent on as ever: of the requests that were on
- * a crashed server all but one are innocent, and one success clears them.
- * After two it only goes to a server on which nothing else runs, and after
- * one more crash there nowhere for a minute. One whole answer anywhere ends
- * the suspicion, and whoever has had one in the last half minute vouches for
- * the request.
+ * After one crash a request is still sent normally: of all the requests on a
+ * crashed server at most one is to blame. After two crashes it only runs
+ * isolated, on a server on which nothing else runs; after a crash there it is
+ * refused for a minute. A whole answer from any server clears it, and an entry
+ * VM that had one in the last 30 s clears the request for the others.
  *
- * The callers of such a request come to any entry VM. Each tells its crashes
- * to the keeper of the request, the entry VM that the fingerprint's hash
- * picks; the keeper tells all when there are two. If the keeper dies, the
- * next one counts anew. What is known of such requests is also compared with
- * each message between entry VMs, and who knows other crashes is told, so that
- * it reaches whoever starts, was frozen or missed a datagram, by anybody.
+ * Callers send such a request to any entry VM. Each one reports its crashes to
+ * the request's coordinator, selected by rendezvous hashing of the
+ * fingerprint, which broadcasts them once there are two. If the coordinator
+ * dies, the next one counts from zero. Entry VMs also compare digests of their
+ * crash records with each message and send the missing ones, so that they
+ * reach members that have started, were frozen or lost a datagram.
  */
 #ifndef SAS_POISON_REQUESTS_H
 #define SAS_POISON_REQUESTS_H
@@ -38,37 +38,37 @@
                                                   struct sas_metrics *metrics);
 void SasPoisonRequests_Free(struct sas_poison_requests *poison);
 
-/* False as long as no request is suspected, which is nearly always: then
- * nobody needs a fingerprint. */
+/* False while no request is suspected, which is nearly always: no fingerprint
+ * has to be computed then. */
 bool SasPoisonRequests_HasAny(const struct sas_poison_requests *poison);
 
-/* How the request may be sent: SAS_QUARANTINE_ALLOW, _ALONE (to a server
- * without other requests) or _REFUSE. */
+/* How the request may be sent: SAS_QUARANTINE_ALLOW, _ALONE (isolated) or
+ * _REFUSE. */
 enum sas_quarantine_verdict
 SasPoisonRequests_Check(struct sas_poison_requests *poison,
                         struct sas_fingerprint fingerprint);
 
-/* Its connection broke while it may have run on the server at the slot;
- * alone: nothing else was known to run there. */
+/* The request's connection was lost while it may have run on the server at the
+ * slot. isolated: no other request was known to run there. */
 void SasPoisonRequests_NoteLost(struct sas_poison_requests *poison,
                                 struct sas_fingerprint fingerprint, int slot,
                                 bool isolated);
 
-/* It ran to a whole answer. */
+/* The request got a whole answer. */
 void SasPoisonRequests_NoteCompleted(struct sas_poison_requests *poison,
                                      struct sas_fingerprint fingerprint);
 
-/* What another entry VM says of a request: that it was in a crash or ran to
- * its end, or all that it knows. */
+/* A report of another entry VM: a crash or completion of a request, or its
+ * whole crash record. */
 void
 SasPoisonRequests_ApplyUpdate(struct sas_poison_requests *poison,
                               const struct sas_mesh_poison_update *update);
 void SasPoisonRequests_ApplyRecord(struct sas_poison_requests *poison,
                                    const struct sas_quarantine_entry *entry);
 
-/* Entry VM number i knows other requests, or other crashes of them: it is told
- * of all that run alone or nowhere. One that has just started would otherwise
- * send them as if nothing had been. */
+/* Sends member i, whose digest differs, the records of all requests that are
+ * isolated or refused. Without them, an entry VM that has just started would
+ * send these requests normally. */
 void SasPoisonRequests_SendRecords(struct sas_poison_requests *poison, int i);
 
 #endif
--- a/packages/gateway/src/pool.c
+++ b/packages/gateway/src/pool.c
@@ -10,9 +10,9 @@
     bool idle;
     int64_t idle_since;
     int64_t idle_limit_ms;
-    int64_t was_idle_ms;          /* when it was taken last */
-    struct sas_pool_probe *probe; /* waits for the connection; NULL: none */
-    int64_t opened_at;            /* when it was opened; 0: not yet */
+    int64_t was_idle_ms;          /* when it was last acquired */
+    struct sas_pool_probe *probe; /* that uses the connection; NULL: none */
+    int64_t opened_at;            /* 0: not connected yet */
 };
 
 struct sas_pool {
@@ -36,8 +36,9 @@
     }
 }
 
-/* Something between here and the server may take a connection in its place
- * and close it at once; so the verdict waits, see SasPool_Sweep. */
+/* A middlebox may accept the connection in the server's place and close it at
+ * once. So a probe only succeeds if the connection stays open, see sweep_one.
+ */
 static void
 on_opened(struct sas_http_owner *owner, struct sas_http_conn *conn)
 {
@@ -55,8 +56,8 @@
     probe->on_probed(probe, true);
 }
 
-/* Connections with a request on them stay: a leaving server still answers
- * what it has. */
+/* Connections with a request on them stay open: a leaving server still answers
+ * its pending requests. */
 static void
 on_server_gone(struct sas_fleet_listener *listener, int slot)
 {
@@ -110,7 +111,8 @@
 find_idle(GPtrArray *list, struct sas_server_ref server, int64_t now_ms,
           int64_t max_idle_ms)
 {
-    /* The one used last: the others grow old and are closed. */
+    /* The most recently used one, so that surplus ones reach their idle limit
+     * and are closed. */
     for (guint i = list->len; i > 0; i--) {
         struct sas_pooled *pooled = list->pdata[i - 1];
         if (pooled->idle && pooled->server.generation == server.generation &&
@@ -185,7 +187,7 @@
 }
 
 void
-SasPool_Release(struct sas_pooled *pooled, int64_t idle_limit_ms)
+SasPool_Release(struct sas_pooled *pooled, int64_t keep_alive_ms)
 {
     struct sas_pool *pool = pooled->pool;
     if (SasFleet_GetServer(pool->fleet, pooled->server) == NULL) {
@@ -194,9 +196,9 @@
     }
     pooled->idle = true;
     pooled->idle_since = (int64_t)uv_now(pool->loop);
-    /* A fifth less than the server says: its clock began before ours. */
-    pooled->idle_limit_ms = idle_limit_ms > 0
-                                ? MIN(idle_limit_ms * 4 / 5, SasPool_IDLE_MS)
+    /* A fifth less than the server states: its timeout began earlier. */
+    pooled->idle_limit_ms = keep_alive_ms > 0
+                                ? MIN(keep_alive_ms * 4 / 5, SasPool_IDLE_MS)
                                 : SasPool_IDLE_MS;
 }
 
