--- a/packages/gateway/src/relay.c
+++ b/packages/gateway/src/relay.c
@@ -1,4 +1,4 @@
-/* A request: its arrival, its route and service, its end. */
+/* Receives callers' requests, selects route and service, and ends requests. */
 #include "relay_call.h"
 
 #include <stdio.h>
@@ -10,7 +10,7 @@
 #include "sas/gateway.h"
 #include "sas/log.h"
 
-/* How fast the size of a route's bodies follows the last ones. */
+/* Weight of the latest request in a route's mean size. */
 #define BYTES_SMOOTHING 0.05
 
 static void on_request(struct sas_http_handler *handler,
@@ -116,7 +116,7 @@
     return state;
 }
 
-/* Ends of a request. */
+/* The end of a request. */
 
 static void
 free_call(struct relay_call *call)
@@ -240,7 +240,8 @@
     return state;
 }
 
-/* What a request and its answer carry, to tell routes with large bodies. */
+/* Updates the route's mean bytes for a request and its answer, which shows
+ * routes with large bodies. */
 static void
 note_bytes(struct relay_call *call, size_t answer_size)
 {
@@ -288,7 +289,7 @@
                            call->deadline_at);
 }
 
-/* A request without an object is one of its own. */
+/* A request without an object key has an object of its own. */
 static void
 find_object(struct relay_call *call)
 {
@@ -318,8 +319,8 @@
     return call;
 }
 
-/* A newer configuration may have the route, and no caller asks again after a
- * 404. */
+/* If a newer configuration may have the route, refuses the request: callers
+ * don't retry after a 404. */
 static void
 end_unrouted(struct relay_call *call)
 {
@@ -362,7 +363,7 @@
     SasRelay_Choose(call);
 }
 
-/* Connections that end. */
+/* Callers' connections. */
 
 static void
 register_ends(struct sas_relay *relay)
@@ -375,8 +376,8 @@
     }
 }
 
-/* A caller that leaves is an outcome of its requests; here stands only what
- * this side has cut. */
+/* Logs connections that this side has closed with something pending. If the
+ * caller has closed it, that is the outcome of its requests. */
 static void
 on_closed(struct sas_http_handler *handler,
           const struct sas_http_leftover *leftover)
--- a/packages/gateway/src/relay.h
+++ b/packages/gateway/src/relay.h
@@ -1,13 +1,13 @@
-/* relay - what happens to one caller's request.
+/* relay - handles callers' requests as a reverse proxy.
  *
- * A request is refused at once, or sent to its object's owner and, where the
- * owner did not run it or the request may run twice, to the next server. A
- * refusal that says "not run" (503, 429, 408, 421) is given only when no
- * server can have begun to run it: every attempt either never left, or was
- * refused by the server with its own mark.
+ * A request is refused at once, or sent to the owner of its object. If the
+ * owner did not run it, or it may run more than once, the next server is
+ * tried. A status that promises "not run" (503, 429, 408, 421) is returned
+ * only if no server can have run any part of the request: either nothing was
+ * sent, or each server that got it refused it with its own header field.
  *
- * Answers are taken whole before a byte goes to the caller, so that one that
- * breaks off never looks complete.
+ * An answer is buffered whole before it is sent to the caller, so that a
+ * truncated one never looks complete.
  */
 #ifndef SAS_RELAY_H
 #define SAS_RELAY_H
@@ -29,7 +29,7 @@
 struct sas_relay_options {
     uv_loop_t *loop;
     struct sas_fleet *fleet;
-    const struct sas_source *source; /* of the model */
+    const struct sas_source *source;
     struct sas_pool *pool;
     struct sas_mesh *mesh;
     struct sas_metrics *metrics;
@@ -41,14 +41,15 @@
 struct sas_relay *SasRelay_New(const struct sas_relay_options *options);
 void SasRelay_Free(struct sas_relay *relay);
 
-/* The handler to give to the callers' HTTP server. */
+/* The handler for the callers' HTTP server. */
 struct sas_http_handler *SasRelay_GetHandler(struct sas_relay *relay);
 
-/* The process is to end by this plan. From now on a request that the plan
- * doesn't take is refused as not run. */
+/* Begins the shutdown: from now on requests that the plan doesn't admit are
+ * refused as not run. */
 void SasRelay_Stop(struct sas_relay *relay, const struct sas_stop_plan *plan);
 
-/* Answers every request that has no answer yet: it may have run. */
+/* At the shutdown deadline: answers every pending request, with its fallback
+ * answer or 502, since it may have run. */
 void SasRelay_FailPending(struct sas_relay *relay);
 
 #endif
--- a/packages/gateway/src/relay_attempt.c
+++ b/packages/gateway/src/relay_attempt.c
@@ -1,4 +1,4 @@
-/* One attempt of a request at a backend server. */
+/* Sends a request to a backend server and handles the answer. */
 #include "relay_call.h"
 
 #include <stdio.h>
@@ -10,10 +10,11 @@
 
 #include "sas/log.h"
 
-/* The reset of a forgotten connection is back within a round trip. */
+/* If the server had dropped an idle connection, its reset arrives within a
+ * round trip. */
 #define DROPPED_IDLE_RESET_MS 100
 
-/* How long rested connections are not trusted after one was found dead. */
+/* After such a reset, idle connections are avoided for this time. */
 #define AVOID_IDLE_MS 30000
 
 static void on_head(struct sas_http_user *user, int status,
@@ -32,7 +33,8 @@
 
 /* Sending. */
 
-/* Header fields of the caller, those of the attempt in place of its own. */
+/* Copies the caller's header fields, without hop-by-hop fields and with the
+ * attempt's deadline and target. */
 static int
 fill_headers(const struct relay_call *call, struct sas_http_header *headers,
              const char *left_ms)
@@ -59,10 +61,11 @@
     return count;
 }
 
-/* A server may forget a connection that rests, and resets whatever comes on it
- * next; nobody can tell then whether it ran. What may not repeat goes on such
- * a connection only while none has been found dead lately: a new one costs a
- * round trip, 40 ms to another region. */
+/* A server may drop an idle connection without notice and reset the next
+ * request on it; nobody can tell then whether that ran. Once such a reset was
+ * seen, requests that must not run twice avoid idle connections for a while.
+ * Always opening a new one would cost a round trip, 40 ms to another region.
+ */
 static int64_t
 get_max_idle(const struct relay_call *call, int64_t now_ms)
 {
@@ -157,8 +160,8 @@
     }
 }
 
-/* "timeout=5, max=100": whole seconds that the server keeps an idle
- * connection. */
+/* Parses "timeout=5, max=100": seconds that the server keeps an idle
+ * connection. Returns milliseconds; 0 if there is no timeout. */
 static int64_t
 read_keep_alive(const char *text)
 {
@@ -203,9 +206,9 @@
     const struct sas_entry_wire *wire = call->relay->options.wire;
     const char *id =
         SasHttp_FindHeader(headers, header_count, wire->request_id);
-    /* A second answer to an earlier request may come where ours is due; the
-     * id tells. Taken for ours, a caller would get another's record. A
-     * server that refuses a request may leave the id out. */
+    /* A duplicate answer to an earlier request may arrive first. Its request
+     * id differs; without this check a caller could get another's data. A
+     * server that refuses a request may omit the id. */
     bool refused = SasHttp_FindHeader(headers, header_count, wire->not_run) ||
                    status == 421;
     if ((id != NULL && strcmp(id, call->request_id) != 0) ||
@@ -235,9 +238,8 @@
     g_string_append_len(call->answer_body, data, (gssize)size);
 }
 
-/* Whether the answer may go to the caller as it is. A success counts only
- * with the server's seal; and the statuses that promise "not run" must not
- * come from a server that doesn't say so. */
+/* Whether the answer may be delivered unchanged. A 2xx answer needs the
+ * server's seal. The statuses that promise "not run" are never passed on. */
 static bool
 is_deliverable(const struct relay_call *call)
 {
@@ -278,8 +280,8 @@
                     &reply);
 }
 
-/* A server's error to what may repeat: another server may do better, and the
- * error is delivered if none does. */
+/* A safe request that got a server error is tried once more elsewhere. The
+ * error is held back as the fallback answer. */
 static bool
 is_worth_retry(const struct relay_call *call)
 {
@@ -313,7 +315,7 @@
     return true;
 }
 
-/* May it run once more although it may have run? */
+/* The request may have run: retries it if it is safe, fails it otherwise. */
 static void
 retry_or_fail(struct relay_call *call, const char *outcome)
 {
@@ -324,7 +326,8 @@
     SasRelay_Fail(call, outcome, 502);
 }
 
-/* What the answer shows of the route's work, and of who knows the object. */
+/* Records the service time, and that the object is cached at the server now.
+ */
 static void
 note_service_time(struct relay_call *call, double elapsed_ms)
 {
@@ -379,7 +382,7 @@
 {
     struct relay_call *call = (struct relay_call *)user;
     struct sas_relay *relay = call->relay;
-    (void)whole; /* framed by its close, and closed in order: whole too */
+    (void)whole; /* if framed by an orderly close, it counts as whole too */
     int64_t now_ms = SasRelay_Now(relay);
     struct sas_pooled *pooled = call->pooled;
     struct sas_fleet_server *server =
@@ -399,7 +402,7 @@
             note_result(call, false);
         }
         if (call->status == 421) {
-            /* Its address is another server's by now; its entry lags. */
+            /* Another server has its address; its row is out of date. */
             SasRelay_ReportChange(relay, call->server.slot,
                                   SasTraffic_NoteReplaced(relay->options.fleet,
                                                           call->server.slot,
@@ -442,7 +445,8 @@
     }
 }
 
-/* A rested connection was dead: that says nothing of the server. */
+/* The server had probably dropped the idle connection; that does not count as
+ * a failure of the server. */
 static bool
 was_dropped_idle(const struct relay_call *call,
                  const struct sas_http_failure *failure)
@@ -452,7 +456,7 @@
            SasRelay_Now(call->relay) - call->sent_at < DROPPED_IDLE_RESET_MS;
 }
 
-/* Also where the connection seems to have been forgotten: a crash at once
+/* Also called if the idle connection had probably been dropped: a crash right
  * after the first byte looks the same. */
 static void
 note_lost(struct relay_call *call)
--- a/packages/gateway/src/relay_call.h
+++ b/packages/gateway/src/relay_call.h
@@ -1,5 +1,5 @@
-/* relay_call - the parts that relay.c, relay_choose.c, relay_attempt.c and
- * relay_peers.c share. */
+/* relay_call - shared by relay.c, relay_choose.c, relay_attempt.c and
+ * relay_peers.c: the state of the relay and of one caller's request. */
 #ifndef SAS_RELAY_CALL_H
 #define SAS_RELAY_CALL_H
 
@@ -16,33 +16,34 @@
 
 #define SasRelay_MAX_TRIED 8
 
-/* Answers longer than this are given up as faulty. */
+/* Longer answers are not delivered; bytes. */
 #define SasRelay_MAX_ANSWER (16 * 1024 * 1024)
 
-/* Less time than this is not worth a try: the way there and back. */
+/* With less time remaining no attempt is made: a round trip takes about as
+ * long. */
 #define SasRelay_MIN_ATTEMPT_MS 15
 
-/* What a caller is told where nothing is known of when it will be better. */
+/* Retry-After of refusals without a better estimate. */
 #define SasRelay_RETRY_AFTER_MS 200
 
-/* Other entry VMs can serve it now. */
+/* Retry-After if another entry VM can serve the request at once. */
 #define SasRelay_RETRY_ELSEWHERE_MS 1
 
-/* Where neither the caller nor the route states a limit. */
+/* Longest time for a request, and the default if neither the caller nor the
+ * route states a limit. */
 #define SasRelay_DEFAULT_DEADLINE_MS 30000
 
 struct service_state {
     struct sas_repeat_allowance retries;
     struct sas_keep zone_share;
-    int64_t
-        avoid_idle_until; /* rested connections to its servers may be dead */
+    int64_t avoid_idle_until; /* idle connections may be dead until then */
 };
 
-/* What a server that has just started bears, by slot. */
+/* State of the server at a slot of the fleet table. */
 struct slot_state {
     uint32_t generation;
-    struct sas_window cold_sends;
-    int64_t cold_until_ms; /* suspected, beside what is announced */
+    struct sas_window cold_sends; /* requests sent in the last second */
+    int64_t cold_until_ms;        /* assumed; the row may state another time */
     struct sas_grey grey_failure;
 };
 
@@ -62,20 +63,20 @@
     GHashTable *routes;  /* struct route_state by route name */
     struct sas_poison_requests *poison_requests;
     struct sas_objects *objects;
-    bool rows_stale; /* servers may be cold without anybody knowing it */
-    int end_counters[SAS_HTTP_END_COUNT]; /* counters of connections */
+    bool rows_stale; /* of servers, which may be cold without notice */
+    int end_counters[SAS_HTTP_END_COUNT]; /* metrics of connections */
     GQueue calls; /* struct relay_call *, by their links */
     struct sas_stop_plan stop;
 };
 
-/* An answer that is whole. */
+/* A whole answer. */
 struct relay_call_answer {
     int status;         /* 0: none */
-    GPtrArray *headers; /* char *, names and values by turns */
+    GPtrArray *headers; /* char *, alternating names and values */
     GString *body;
 };
 
-/* One request of a caller, from its arrival to its answer. */
+/* A caller's request, from its arrival to its answer. */
 struct relay_call {
     struct sas_http_user user; /* of the current attempt's connection */
     struct sas_relay *relay;
@@ -85,44 +86,44 @@
     const struct sas_route *route;
     int service;
     uint64_t key;
-    bool keyed; /* other requests have the same object */
+    bool keyed; /* the route is sticky and the caller has named the object */
     char request_id[64];
     int64_t began_at;
     int64_t deadline_at;
     int tried[SasRelay_MAX_TRIED];
     int tried_count;
-    int attempts;         /* that reached, or may have reached, a server */
-    bool has_fingerprint; /* the fingerprint has been worked out */
+    int attempts;         /* that a server ran, or may have run */
+    bool has_fingerprint; /* it has been computed */
     struct sas_fingerprint fingerprint;
     bool steering_checked;
-    struct sas_steering_grant grant; /* by the operators' sheet */
+    struct sas_steering_grant grant; /* under the operators' sheet */
 
     /* the current attempt */
     struct sas_pooled *pooled;
-    int64_t conn_idle_ms; /* of its connection before the attempt */
+    int64_t conn_idle_ms; /* idle time of its connection; 0: new */
     struct sas_server_ref server;
     char server_id[SasFleet_ID_SIZE];
     char server_zone[SasModel_NAME_SIZE];
     int64_t sent_at;
     double load_when_sent;
-    bool cached;         /* the server knew the object */
-    double work_ms;      /* usual, of such a request */
-    double wait_ms;      /* expected, for a slot */
-    bool isolated;       /* nothing else was known to run there */
-    int64_t load_age_ms; /* of the report that the load rests on; -1: none */
+    bool cached;         /* the object was cached at the server */
+    double work_ms;      /* expected service time */
+    double wait_ms;      /* expected wait for an execution slot */
+    bool isolated;       /* no other request was known to run there */
+    int64_t load_age_ms; /* of the server's load report; -1: none */
 
     /* its answer */
     int status;
-    GPtrArray *answer_headers; /* char *, names and values by turns */
+    GPtrArray *answer_headers; /* char *, alternating names and values */
     GString *answer_body;
     struct sas_traffic_report report;
     bool sealed;
     bool not_run;
-    struct relay_call_answer
-        fallback;           /* a server's error, while another is asked */
-    bool unusable;          /* not what the server made */
-    bool retry_same_server; /* the last server may be tried once more */
-    int64_t keep_alive_ms;
+    struct relay_call_answer fallback; /* a server's error, held back while
+                                          another server is tried */
+    bool unusable;                     /* altered on the way, or too long */
+    bool retry_same_server;            /* the last server may be tried again */
+    int64_t keep_alive_ms;             /* stated by the server; 0: none */
 };
 
 /* relay.c */
@@ -137,9 +138,9 @@
 struct slot_state *SasRelay_GetSlot(struct sas_relay *relay, int slot);
 struct route_state *SasRelay_GetRouteState(const struct relay_call *call);
 
-/* relay_choose.c: Choose sends the request to the best server that is left, or
- * ends it; NoteServer says which server a decision is about, and the load that
- * it rests on. */
+/* relay_choose.c: Choose sends the request to the best server not tried yet,
+ * or ends it. NoteServer records the server of a decision and its load, for
+ * the log. */
 void SasRelay_Choose(struct relay_call *call);
 void SasRelay_NoteServer(struct relay_call *call, int slot, int64_t now_ms);
 struct sas_fingerprint SasRelay_GetFingerprint(struct relay_call *call);
@@ -149,8 +150,10 @@
 void SasRelay_ReportChange(struct sas_relay *relay, int slot,
                            enum sas_traffic_change change, const char *cause);
 
-/* What a server does looks as if it had turned cold. */
+/* The server is slow while its row is stale: treats it as cold. */
 void SasRelay_AssumeCold(struct sas_relay *relay, int slot);
+
+/* Count towards the detection of grey failures. */
 void SasRelay_NoteAnswered(struct sas_relay *relay, int slot);
 void SasRelay_NoteFailed(struct sas_relay *relay, int slot);
 
--- a/packages/gateway/src/relay_choose.c
+++ b/packages/gateway/src/relay_choose.c
@@ -1,4 +1,4 @@
-/* Which server a request is sent to, or why to none. */
+/* Selects the server for a request, or refuses it with a reason. */
 #include "relay_call.h"
 
 #include <string.h>
@@ -8,19 +8,21 @@
 #include "sas/gateway.h"
 #include "sas/log.h"
 
-/* A refusal by a server with free slots says nothing of the next try; the
- * caller may come back at once. */
+/* A server that refuses a request in spite of free execution slots may accept
+ * the next one, so the caller may retry soon. */
 #define SPURIOUS_REFUSAL_RETRY_MS 30
 #define MAX_SPURIOUS_REFUSALS 3
 
-/* Servers' rows that were confirmed longer ago may be wrong. The store's
- * longest wait for a change, and the way by a leader, take up to 3.3 s. */
+/* Servers' rows that were confirmed longer ago are stale. The longest poll of
+ * the store, and the way via a leader, take up to 3.3 s. */
 #define STALE_ROWS_MS 3500
 
-/* Half a request: what is left of a report when it has faded. */
+/* Below this load, in requests, a server counts as idle. Load reports decay
+ * exponentially and never reach 0. */
 #define IDLE_LOAD 0.5
 
-/* The part of a route's objects that stays at home; 0: by its slots. */
+/* Share of an upload route's objects that stays in the zone; 0 for other
+ * routes: follows from the zone's execution slots. */
 static double
 get_zone_share(const struct relay_call *call, int64_t now_ms)
 {
@@ -47,9 +49,9 @@
 static bool
 was_tried(const struct relay_call *call, int slot)
 {
-    /* A server that refuses requests though it has free slots refuses some
-     * of them, not all; one that had forgotten a connection takes a new one.
-     * It knows the object and another one doesn't. */
+    /* A server that refuses requests in spite of free slots refuses only some
+     * of them, and one that had dropped an idle connection accepts a new one.
+     * The object may be cached there and not elsewhere. */
     if (call->retry_same_server && slot == call->server.slot &&
         call->tried_count < MAX_SPURIOUS_REFUSALS) {
         return false;
@@ -62,9 +64,9 @@
     return false;
 }
 
-/* A server that has just started breaks down under more than a few requests a
- * second, and its failure looks like a crash. Its own region's entry VMs
- * share what it bears; the others leave it alone. */
+/* A server that has just started breaks down under more than a few requests/s,
+ * and that looks like a crash. The entry VMs of its region share the rate that
+ * it can handle; those of other regions send it nothing. */
 static bool
 is_too_cold(struct relay_call *call, int slot, int64_t now_ms)
 {
@@ -94,7 +96,8 @@
     return SasWindow_Count(&state->cold_sends, now_ms) >= share;
 }
 
-/* Whether the request may go on to another server at all. */
+/* Whether another attempt is allowed; returns NULL or the reason against it.
+ */
 static const char *
 find_refusal_reason(struct relay_call *call, int64_t now_ms)
 {
@@ -131,7 +134,6 @@
     SasRelay_Refuse(call, outcome, retry_after_ms);
 }
 
-/* Which server a decision is about, and the load that it rests on. */
 void
 SasRelay_NoteServer(struct relay_call *call, int slot, int64_t now_ms)
 {
@@ -147,7 +149,7 @@
                             : -1;
 }
 
-/* Requests that crash servers. */
+/* Suspected poison requests. */
 
 struct sas_fingerprint
 SasRelay_GetFingerprint(struct relay_call *call)
@@ -174,7 +176,7 @@
                                    SasRelay_GetFingerprint(call));
 }
 
-/* Servers on which nothing else runs, as far as this entry VM knows. */
+/* Keeps the servers on which, as far as this entry VM knows, nothing runs. */
 static int
 filter_idle(struct relay_call *call, int *slots, int count, int64_t now_ms)
 {
@@ -188,11 +190,12 @@
     return kept;
 }
 
-/* What may not repeat is lost to its caller when its server fails it, while a
- * look-up goes on to the next one. So it leaves an owner that fails part of
- * its requests for the next server with a free slot and no queue lately;
- * where there is none the owner is still better than cold requests that take
- * slots from others. How many servers are left to choose from. */
+/* If its server fails a request that must not run twice, the caller gets an
+ * error; a safe one is retried elsewhere. So if the owner has a grey failure,
+ * an unsafe request goes to the next server with spare execution slots and no
+ * recent standing queue. If there is none it stays with the owner: as an
+ * uncached request it would take slots from others. Returns the number of
+ * remaining servers. */
 static int
 avoid_grey_failure(const struct relay_call *call, int *slots, int count,
                    int64_t now_ms)
@@ -215,9 +218,8 @@
     return count;
 }
 
-/* A server that turns cold says so by its row, which can't come while the
- * store is away. It breaks down under what a warm one gets in the second that
- * follows. */
+/* A cold server is known by its row, which doesn't arrive while the store is
+ * unavailable. Within a second it breaks down under the load of a warm one. */
 static void
 update_rows_stale(struct sas_relay *relay)
 {
@@ -233,8 +235,8 @@
     }
 }
 
-/* In doubt, leaves out the servers that have fallen silent, unless all have:
- * then the cause is not theirs. */
+/* While rows are stale, leaves out unresponsive servers; not if all are, for
+ * then the cause lies elsewhere. */
 static int
 avoid_unresponsive(const struct relay_call *call, int *slots, int count,
                    int64_t now_ms)
@@ -257,8 +259,8 @@
     return kept;
 }
 
-/* Where a route states no objective, its requests are in time within their
- * limit. */
+/* The route's latency objective, or the request's time limit if it has none.
+ */
 static int64_t
 get_objective(const struct relay_call *call)
 {
@@ -267,8 +269,8 @@
                : call->deadline_at - call->began_at;
 }
 
-/* Leaves out the servers that were tried and that are too cold; reason says
- * why the last of them was left out. */
+/* Leaves out the servers that were tried or are too cold; sets reason if one
+ * is too cold. */
 static int
 filter_usable(struct relay_call *call, int *slots, int count, int64_t now_ms,
               const char **reason)
@@ -287,7 +289,7 @@
     return kept;
 }
 
-/* Where the operators' sheet sends the request, once for all its attempts. */
+/* Applies the operators' sheet to the request, once for all its attempts. */
 static void
 acquire_steering(struct relay_call *call, int64_t now_ms)
 {
@@ -298,7 +300,7 @@
     call->steering_checked = true;
     int zone = SasMesh_GetOwnZone(options->mesh);
     int home = SasFleet_GetZone(options->fleet, zone)->region;
-    /* Any number that all agree on: it only orders the sharers. */
+    /* Any number on which all agree will do: it only ranks the senders. */
     struct sas_mesh_senders senders =
         SasMesh_GetSenders(options->mesh, (uint64_t)call->service, home);
     size_t size = 0;
@@ -332,7 +334,6 @@
     return SasAdmit_Judge(call->relay->options.fleet, &query, now_ms);
 }
 
-/* Sends the request to the best server that is left, or ends it. */
 void
 SasRelay_Choose(struct relay_call *call)
 {
--- a/packages/gateway/src/relay_peers.c
+++ b/packages/gateway/src/relay_peers.c
@@ -1,4 +1,4 @@
-/* What entry VMs tell each other of backend servers. */
+/* Exchanges reports on backend servers with other entry VMs. */
 #include "relay_call.h"
 
 #include "sas/log.h"
@@ -12,9 +12,10 @@
                             SasFleet_GetServerRegion(fleet, slot));
 }
 
-/* A server that is back may have started anew, and its entry tells so only
- * with its next heartbeat. Sent to at once by everybody it breaks down again:
- * it is taken for cold until then. */
+/* A server that has recovered may be a new process, which its row only shows
+ * after the next heartbeat. The load of all entry VMs at once would break it
+ * down again. So it counts as cold for the service's cold time, or until its
+ * row shows the new process. */
 static void
 assume_cold(struct sas_relay *relay, int slot)
 {
@@ -92,7 +93,8 @@
         SasTraffic_GetPaceMs(relay->options.fleet, server->service));
 }
 
-/* The tester passes on what it hears first; the others obey. */
+/* Applies a peer's report; the prober forwards it to all if it changes the
+ * server's state here. */
 static void
 apply_ejection(struct sas_relay *relay, int slot,
                const struct sas_mesh_ejection *ejection)
@@ -116,7 +118,7 @@
     }
 }
 
-/* SasModel_NONE where this entry VM doesn't know it. */
+/* The server's slot; SasModel_NONE if it is not in the fleet. */
 static int
 find_by_hash(const struct sas_fleet *fleet, uint64_t hash)
 {
@@ -147,7 +149,7 @@
     }
 }
 
-/* Servers that fail part of their requests. */
+/* Grey failures. */
 
 static void
 count_failures(struct sas_relay *relay, int slot, int failed, int answered)
