--- a/packages/gateway/tests/test_gateway.c
+++ b/packages/gateway/tests/test_gateway.c
@@ -15,8 +15,7 @@
 #define TURNS 50
 #define MAX_DRAWS 100 /* of a port */
 
-/* A gateway whose model stays empty; every request that it takes is answered
- * with 503. */
+/* A gateway without servers; its source is never ready. */
 struct fixture {
     struct sas_source source;
     struct sas_http_handler peers;
@@ -80,8 +79,8 @@
     .lookup_ttl_s = "ttl",
 };
 
-/* A port that is free for TCP and UDP. Its sockets stay open, so that the
- * kernel doesn't give it to the next who asks. */
+/* Finds a port that is free for TCP and UDP. Its sockets stay open, so that
+ * the next call gets another port. */
 static int
 hold_port(int held[2])
 {
@@ -167,7 +166,7 @@
     SasFleet_Free(f->fleet);
 }
 
-/* -1: nobody listens. */
+/* The socket; -1 if nothing listens on the port. */
 static int
 connect_caller(const struct fixture *f)
 {
@@ -182,10 +181,10 @@
     return fd;
 }
 
-/* Guards against a request that is taken by a process that has decided to end
- * and only runs its loop to close its parts. */
+/* Guards against requests that are accepted and lost when the process has shut
+ * down and only runs its loop to close its handles. */
 static void
-test_a_process_that_has_ended_its_loop_takes_nothing(void **state)
+test_no_connection_is_accepted_after_shutdown(void **state)
 {
     (void)state;
     struct fixture f;
@@ -199,7 +198,7 @@
     stop(&f);
 }
 
-/* The status of the answer to a request for a path. */
+/* Requests a path and returns the status of the answer. */
 static int
 ask(struct fixture *f, const char *path)
 {
@@ -220,10 +219,10 @@
     return status;
 }
 
-/* Guards against a final "no such route" by an entry VM that has heard that
- * others have a newer configuration. */
+/* Guards against a final 404 for an unknown route by an entry VM that knows
+ * that others have a newer configuration. */
 static void
-test_one_that_is_behind_rules_no_route_out(void **state)
+test_unknown_route_is_503_while_config_is_behind(void **state)
 {
     (void)state;
     struct fixture f;
@@ -241,8 +240,8 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_a_process_that_has_ended_its_loop_takes_nothing),
-        cmocka_unit_test(test_one_that_is_behind_rules_no_route_out),
+        cmocka_unit_test(test_no_connection_is_accepted_after_shutdown),
+        cmocka_unit_test(test_unknown_route_is_503_while_config_is_behind),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/gateway/tests/test_gossip.c
+++ b/packages/gateway/tests/test_gossip.c
@@ -20,7 +20,7 @@
     GRand *random;
     struct sas_mesh *meshes[VMS];
     struct sas_proto_key *keys[VMS]; /* NULL: none */
-    double links_mbps[VMS];          /* 0: the usual */
+    double links_mbps[VMS];          /* 0: 100 */
     struct node {
         struct sas_mesh_listener listener;
         int ejections;
@@ -97,7 +97,7 @@
     return SasFleet_FindRegion(f->fleet, name);
 }
 
-/* Turns of the loop until the condition holds. */
+/* Runs the loop until the condition holds, for 10 s at most. */
 #define SPIN_UNTIL(f, condition)                                              \
     do {                                                                      \
         for (int turn = 0; turn < MAX_TURNS && !(condition); turn++) {        \
@@ -165,7 +165,7 @@
     for (int i = 0; i < VMS; i++) {
         open_vm(f, i, STARTED_AT + i);
     }
-    /* Only the last one is told of the others. */
+    /* The last one is given all others, 0 and 1 those with higher numbers. */
     for (int i = 0; i < VMS - 1; i++) {
         SasMesh_AddVm(f->meshes[VMS - 1], SasMesh_GetOwn(f->meshes[i]));
     }
@@ -223,7 +223,7 @@
 }
 
 static void
-test_one_leads_a_zone_and_one_tests_a_server(void **state)
+test_one_leader_per_zone_and_one_prober_per_server(void **state)
 {
     (void)state;
     struct fixture *f = start();
@@ -242,12 +242,11 @@
     stop(f);
 }
 
-/* A cold server would be sent more than it bears and break down: one of three
- * entry VMs is being stopped and still serves callers, and the other two take
- * its part as soon as they know. Their parts must not overlap while it sends.
- */
+/* Guards against overload of a cold server by overlapping shares. One of three
+ * entry VMs is leaving and still serves callers; if the other two took over
+ * its share at once, they would send more than the limit together. */
 static void
-test_one_that_leaves_still_counts_among_the_senders(void **state)
+test_leaving_vm_keeps_its_share(void **state)
 {
     (void)state;
     struct fixture *f = start();
@@ -262,17 +261,18 @@
         seen |= 1 << senders.rank;
     }
     assert_int_equal(seen, 7); /* each rank once */
-    /* Callers are sent elsewhere. */
+    /* Lookups leave it out. */
     struct sas_address addresses[4];
     assert_int_equal(SasMesh_Lookup(f->meshes[2], 0, 0, addresses, 4), 1);
     assert_int_equal(addresses[0].port, 8000);
     stop(f);
 }
 
-/* A cold server would be sent more than it bears: an entry VM is cut off from
- * the others and still reaches the server, and the others take its part. */
+/* Guards against overload of a cold server by overlapping shares: an entry VM
+ * that looks dead to the others may be partitioned from them and still reach
+ * the server. */
 static void
-test_one_that_is_gone_keeps_its_part_for_a_while(void **state)
+test_dead_vm_keeps_its_share_for_a_while(void **state)
 {
     (void)state;
     struct fixture *f = start();
@@ -286,10 +286,10 @@
     stop_all_but(f, 1);
 }
 
-/* A cold server would be sent more than it bears: one that starts takes its
- * part while the others still use it. */
+/* Guards against overload of a cold server by overlapping shares: an entry VM
+ * that starts must not use its share while the others still use it. */
 static void
-test_one_that_starts_has_no_part_until_the_others_know(void **state)
+test_starting_or_frozen_vm_has_no_share(void **state)
 {
     (void)state;
     struct fixture *f = prepare();
@@ -300,16 +300,17 @@
     assert_false(SasMesh_GetSenders(mesh, SERVER_HASH, region).has_share);
     SPIN_UNTIL(f, SasMesh_GetSenders(mesh, SERVER_HASH, region).has_share);
     assert_true(g_get_monotonic_time() - began_at > G_USEC_PER_SEC);
-    /* And one that was frozen, when it goes on. */
+    /* The same after a freeze. */
     g_usleep(2 * G_USEC_PER_SEC);
     SPIN_UNTIL(f, !SasMesh_GetSenders(mesh, SERVER_HASH, region).has_share);
     stop(f);
 }
 
-/* All strong entry VMs of a zone stop at once: its callers would overrun the
- * link of the weak one that is left. */
+/* Guards against overload of the link of a zone's last entry VM: all those
+ * with a high capacity have stopped, and its callers are sent to the one with
+ * a low capacity. */
 static void
-test_the_callers_of_a_zone_are_not_left_to_its_weakest(void **state)
+test_lookup_widens_when_capacity_is_low(void **state)
 {
     (void)state;
     struct fixture *f = prepare();
@@ -324,7 +325,7 @@
     assert_int_equal(SasMesh_Lookup(f->meshes[2], 0, 0, addresses, 4), 2);
     assert_int_equal(addresses[0].port, 8002);
     assert_int_equal(addresses[1].port, 8000);
-    /* Nor to the weakest of the region. */
+    /* The same in the whole region. */
     SasMesh_Leave(f->meshes[2]);
     SPIN_UNTIL(f, SasMesh_Count(f->meshes[3]) == VMS - 2);
     assert_int_equal(SasMesh_Lookup(f->meshes[3], 0, 0, addresses, 4), 2);
@@ -332,10 +333,11 @@
     stop(f);
 }
 
-/* Hundreds of entry VMs meet a slow server at the same moment. Each tells its
- * tester alone, and the tester tells all. */
+/* Guards against a flood of datagrams when hundreds of entry VMs notice a slow
+ * server at the same time: each reports only to the prober, which reports to
+ * all. */
 static void
-test_a_trip_goes_to_the_tester_and_from_there_to_all(void **state)
+test_ejection_is_reported_to_prober_then_to_all(void **state)
 {
     (void)state;
     struct fixture *f = start();
@@ -369,11 +371,11 @@
     stop(f);
 }
 
-/* A request crashes a server each time it is sent again, and its callers come
- * to any entry VM. Each of them sees one crash; the keeper of the request
- * hears of all and tells everybody. */
+/* Guards against a poison request that crashes one server through each entry
+ * VM. Each of them sees only one crash; the request's coordinator gets all of
+ * them and reports to all. */
 static void
-test_a_suspect_goes_to_its_keeper_and_from_there_to_all(void **state)
+test_crash_is_reported_to_coordinator_then_to_all(void **state)
 {
     (void)state;
     struct fixture *f = start();
@@ -406,16 +408,13 @@
     stop(f);
 }
 
-/* One of a hundred and thirty entry VMs loses power. Look-ups go on naming it,
- * and callers wait for its silence, until the others know. They must know
- * within seconds, also where nobody hears of everybody in each round; by the
- * age of the news alone it took 37 s. */
+/* Too many for a message to hold updates of all. */
 #define MANY_VMS 130
 
-/* Requests that are refused would be sent again by one that has started since,
- * or missed the news. */
+/* Guards against an entry VM that sends refused requests again, since it has
+ * started later or lost the datagram with their crashes. */
 static void
-test_whoever_has_other_records_is_told_until_it_has_them(void **state)
+test_records_are_sent_until_digests_match(void **state)
 {
     (void)state;
     struct fixture *f = start();
@@ -449,7 +448,7 @@
 }
 
 static int
-count_who_see_live(struct sas_mesh **meshes, const char *name)
+count_viewers_of_live(struct sas_mesh **meshes, const char *name)
 {
     int count = 0;
     for (int i = 0; i < MANY_VMS; i++) {
@@ -463,8 +462,11 @@
     return count;
 }
 
+/* Guards against lookups that return a dead entry VM for long, whose callers
+ * run into timeouts. Among 130 entry VMs one that lost power must be detected
+ * within seconds; by the age of its updates alone that took 37 s. */
 static void
-test_a_death_in_a_crowd_is_known_within_seconds(void **state)
+test_dead_vm_among_many_is_detected_within_seconds(void **state)
 {
     (void)state;
     struct fixture *f = prepare();
@@ -488,19 +490,19 @@
             SasMesh_AddVm(meshes[i], SasMesh_GetOwn(meshes[j]));
         }
     }
-    SPIN_UNTIL(f, count_who_see_live(meshes, "vm-7") == MANY_VMS - 1);
+    SPIN_UNTIL(f, count_viewers_of_live(meshes, "vm-7") == MANY_VMS - 1);
     SasMesh_Close(meshes[7]);
     meshes[7] = NULL;
-    SPIN_UNTIL(f, count_who_see_live(meshes, "vm-7") == 0);
-    assert_int_equal(count_who_see_live(meshes, "vm-8"), MANY_VMS - 2);
+    SPIN_UNTIL(f, count_viewers_of_live(meshes, "vm-7") == 0);
+    assert_int_equal(count_viewers_of_live(meshes, "vm-8"), MANY_VMS - 2);
     stop_meshes(f, meshes, MANY_VMS);
 }
 
-/* An entry VM is killed and starts again while its clock has gone back. All
- * others hold news of the earlier process, which looks newer; taken for dead,
- * the new one would get no callers for as long as it lives. */
+/* Guards against an entry VM that counts as dead for as long as it runs, and
+ * gets no callers: it was restarted after its clock was set back, and the
+ * previous process had a higher incarnation. */
 static void
-test_one_whose_clock_went_back_is_known_again(void **state)
+test_vm_restarted_with_clock_set_back_is_live(void **state)
 {
     (void)state;
     struct fixture *f = start();
@@ -519,7 +521,7 @@
     }
     SPIN_UNTIL(f, all_know_all(f));
     assert_true(SasMesh_GetOwn(f->meshes[1])->incarnation > STARTED_AT);
-    /* And told of what it doesn't know. */
+    /* It is sent the records that it lacks. */
     SPIN_UNTIL(f, f->nodes[0].mismatches > 0);
     stop(f);
 }
@@ -534,11 +536,10 @@
     return key;
 }
 
-/* Somebody who reaches the port but has not the key names itself an entry VM
- * and says that servers have tripped. Callers would be sent to it, and the
- * servers would get nothing. */
+/* Guards against forged messages of a host that reaches the port but has not
+ * the key: callers would be sent to it, and servers ejected on its report. */
 static void
-test_only_who_has_the_key_is_heard(void **state)
+test_messages_signed_with_another_key_are_ignored(void **state)
 {
     (void)state;
     struct fixture *f = prepare();
@@ -574,10 +575,10 @@
     }
 }
 
-/* Guards against an entry VM whose store is silent for it alone and that
- * therefore believes that nothing has changed. */
+/* Guards against an entry VM that doesn't notice that its rows are stale,
+ * since the store is unresponsive for it alone. */
 static void
-test_all_hear_who_has_a_change(void **state)
+test_changes_are_announced_to_all(void **state)
 {
     (void)state;
     struct fixture *f = start();
@@ -590,7 +591,8 @@
                              SasMesh_GetOwn(f->meshes[2])->peer.port);
         }
     }
-    /* What others have isn't passed on: nobody could be asked for it. */
+    /* Changes of others are not passed on: only the announcer of a change can
+     * be asked for it. */
     SasMesh_NoteChange(f->meshes[2], 1, 41);
     SasMesh_NoteChange(f->meshes[0], 0, 7);
     SPIN_UNTIL(f, f->nodes[3].changes[0] == 7);
@@ -602,22 +604,18 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_one_leads_a_zone_and_one_tests_a_server),
-        cmocka_unit_test(test_one_that_leaves_still_counts_among_the_senders),
-        cmocka_unit_test(test_one_that_is_gone_keeps_its_part_for_a_while),
-        cmocka_unit_test(
-            test_one_that_starts_has_no_part_until_the_others_know),
-        cmocka_unit_test(
-            test_the_callers_of_a_zone_are_not_left_to_its_weakest),
-        cmocka_unit_test(test_a_trip_goes_to_the_tester_and_from_there_to_all),
-        cmocka_unit_test(
-            test_a_suspect_goes_to_its_keeper_and_from_there_to_all),
-        cmocka_unit_test(
-            test_whoever_has_other_records_is_told_until_it_has_them),
-        cmocka_unit_test(test_a_death_in_a_crowd_is_known_within_seconds),
-        cmocka_unit_test(test_one_whose_clock_went_back_is_known_again),
-        cmocka_unit_test(test_only_who_has_the_key_is_heard),
-        cmocka_unit_test(test_all_hear_who_has_a_change),
+        cmocka_unit_test(test_one_leader_per_zone_and_one_prober_per_server),
+        cmocka_unit_test(test_leaving_vm_keeps_its_share),
+        cmocka_unit_test(test_dead_vm_keeps_its_share_for_a_while),
+        cmocka_unit_test(test_starting_or_frozen_vm_has_no_share),
+        cmocka_unit_test(test_lookup_widens_when_capacity_is_low),
+        cmocka_unit_test(test_ejection_is_reported_to_prober_then_to_all),
+        cmocka_unit_test(test_crash_is_reported_to_coordinator_then_to_all),
+        cmocka_unit_test(test_records_are_sent_until_digests_match),
+        cmocka_unit_test(test_dead_vm_among_many_is_detected_within_seconds),
+        cmocka_unit_test(test_vm_restarted_with_clock_set_back_is_live),
+        cmocka_unit_test(test_messages_signed_with_another_key_are_ignored),
+        cmocka_unit_test(test_changes_are_announced_to_all),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
