--- a/packages/gateway/src/gateway.c
+++ b/packages/gateway/src/gateway.c
@@ -94,7 +94,7 @@
 }
 
 static int
-count_with_homes(const struct sas_fleet_config *config)
+count_with_allowed_regions(const struct sas_fleet_config *config)
 {
     int count = 0;
     for (guint i = 0; i < config->routes->len; i++) {
@@ -118,7 +118,7 @@
     SasLog_Write(SasLog_INFO, "config.apply", "",
                  "version=%" G_GINT64_FORMAT " routes=%u homes=%d",
                  config->version, config->routes->len,
-                 count_with_homes(config));
+                 count_with_allowed_regions(config));
 }
 
 static int
--- a/packages/gateway/src/mesh.h
+++ b/packages/gateway/src/mesh.h
@@ -39,7 +39,7 @@
     uint64_t server_hash;
     int64_t left_ms;
     bool restarted;    /* recovered after it had refused connections */
-    bool grey_failure; /* not ejected: it fails part of its requests */
+    bool grey_failure; /* not ejected, but fails part of its requests */
 };
 
 /* Report that a request ran on a backend server when it crashed, or that it
@@ -141,10 +141,10 @@
 /* Number of live members, this one included. */
 int SasMesh_Count(const struct sas_mesh *mesh);
 
-/* Fills in the callers' addresses of the live entry VMs in the zone with the
- * highest capacity; of the whole region if too little of the zone's capacity
- * is live, or zone is NONE; of all regions if too little of the region's is.
- * Returns their number, at most max. */
+/* Addresses for callers: the zone's live entry VMs, those with the highest
+ * capacity. If too little of the zone's capacity is live, or zone is NONE, the
+ * region's; if too little of that is live, those of all regions. Returns their
+ * number, at most max. */
 int SasMesh_Lookup(struct sas_mesh *mesh, int zone, int region,
                    struct sas_address *addresses, int max);
 
--- a/packages/gateway/src/mesh_gossip.c
+++ b/packages/gateway/src/mesh_gossip.c
@@ -492,15 +492,15 @@
  * own. */
 static void
 correct_sender(struct sas_mesh *mesh, const struct sas_mesh_facts *sender,
-               const struct vm *known)
+               const struct vm *member)
 {
-    struct vm vm = {.name_hash = known->name_hash};
+    struct vm vm = {.name_hash = member->name_hash};
     if (SasHttp_GetSockaddr(&sender->peer, &vm.peer) != 0) {
         return;
     }
     sas_mesh_news row = {
-        .name_hash = known->name_hash,
-        .incarnation = known->facts.incarnation,
+        .name_hash = member->name_hash,
+        .incarnation = member->facts.incarnation,
     };
     sas_mesh_message message = {
         .news = {.news_len = 1, .news_val = &row},
--- a/packages/gateway/src/mesh_internal.h
+++ b/packages/gateway/src/mesh_internal.h
@@ -35,7 +35,7 @@
     int open_handles;
     struct sas_fleet *fleet;
     GRand *random;
-    GArray *vms; /* struct vm, by seat */
+    GArray *vms; /* struct vm, by member id */
     struct sas_membership table;
     struct sas_mesh_listener *listener;
     struct sas_mesh_table_listener *table_listener; /* NULL: none */
--- a/packages/gateway/src/relay.c
+++ b/packages/gateway/src/relay.c
@@ -282,7 +282,7 @@
 }
 
 static bool
-may_take(const struct relay_call *call)
+may_admit(const struct relay_call *call)
 {
     const struct sas_relay *relay = call->relay;
     return SasStop_MayTake(&relay->stop, SasRelay_Now(relay),
@@ -352,7 +352,7 @@
         return;
     }
     call->deadline_at = get_deadline(call);
-    if (!may_take(call)) {
+    if (!may_admit(call)) {
         SasRelay_Refuse(call, "stopping", SasRelay_RETRY_ELSEWHERE_MS);
         return;
     }
--- a/packages/gateway/src/relay_attempt.c
+++ b/packages/gateway/src/relay_attempt.c
@@ -40,11 +40,11 @@
              const char *left_ms)
 {
     const struct sas_entry_wire *wire = call->relay->options.wire;
-    int given = 0;
+    int given_count = 0;
     const struct sas_http_header *from =
-        SasHttpExchange_GetHeaders(call->exchange, &given);
+        SasHttpExchange_GetHeaders(call->exchange, &given_count);
     int count = 0;
-    for (int i = 0; i < given; i++) {
+    for (int i = 0; i < given_count; i++) {
         const char *name = from[i].name;
         if (SasHttp_IsHopHeader(name) || strcasecmp(name, "Host") == 0 ||
             strcasecmp(name, "Expect") == 0 ||
@@ -172,7 +172,7 @@
 }
 
 static void
-take_header(struct relay_call *call, const struct sas_http_header *header)
+apply_header(struct relay_call *call, const struct sas_http_header *header)
 {
     const struct sas_entry_wire *wire = call->relay->options.wire;
     if (strcasecmp(header->name, wire->load) == 0) {
@@ -223,7 +223,7 @@
     SasRelay_ClearAnswer(call);
     call->status = status;
     for (int i = 0; i < header_count; i++) {
-        take_header(call, &headers[i]);
+        apply_header(call, &headers[i]);
     }
 }
 
--- a/packages/gateway/src/relay_choose.c
+++ b/packages/gateway/src/relay_choose.c
@@ -246,16 +246,16 @@
         return count;
     }
     int kept = 0;
-    int heard[SasOwner_MAX_CANDIDATES];
+    int responsive[SasOwner_MAX_CANDIDATES];
     for (int i = 0; i < count; i++) {
         if (!SasTraffic_IsSilent(fleet, slots[i], now_ms)) {
-            heard[kept++] = slots[i];
+            responsive[kept++] = slots[i];
         }
     }
     if (kept == 0) {
         return count;
     }
-    memcpy(slots, heard, sizeof(heard[0]) * (size_t)kept);
+    memcpy(slots, responsive, sizeof(responsive[0]) * (size_t)kept);
     return kept;
 }
 
--- a/packages/gateway/tests/test_gateway.c
+++ b/packages/gateway/tests/test_gateway.c
@@ -200,7 +200,7 @@
 
 /* Requests a path and returns the status of the answer. */
 static int
-ask(struct fixture *f, const char *path)
+request_path(struct fixture *f, const char *path)
 {
     int caller = connect_caller(f);
     g_autofree char *request = g_strdup_printf(
@@ -229,9 +229,9 @@
     start(&f);
     SasFleet_ApplyConfig(f.fleet, SasFleetConfig_New(1), 0);
     f.behind = true;
-    assert_int_equal(ask(&f, "/new/"), 503);
+    assert_int_equal(request_path(&f, "/new/"), 503);
     f.behind = false;
-    assert_int_equal(ask(&f, "/new/"), 404);
+    assert_int_equal(request_path(&f, "/new/"), 404);
     assert_int_equal(SasGateway_Run(f.gateway), 0);
     stop(&f);
 }
