--- a/packages/gateway/src/gateway.c
+++ b/packages/gateway/src/gateway.c
@@ -2,7 +2,7 @@
 
 #include <string.h>
 
-#include "directory.h"
+#include "endpoints.h"
 #include "mesh.h"
 #include "pool.h"
 #include "relay.h"
@@ -12,17 +12,17 @@
 
 #define SWEEP_MS 500
 
-/* Of the memory limit, what bodies may take: the rest is for the connections
- * (two buffers of the kernel's each) and the answers on their way. */
+/* Share of the memory limit that request bodies may take. The rest is for the
+ * connections (two kernel buffers each) and for answers in flight. */
 #define BODIES_SHARE 0.35
 
-/* Descriptors kept for backend servers, the store and files. */
+/* Descriptors reserved for backend servers, the store and files. */
 #define OTHER_DESCRIPTORS 1200
 
-/* The settings file may change without a signal. */
+/* The settings file may change without a SIGHUP, so it is polled. */
 #define FILE_POLL_MS 3000
 
-/* An idle connection of a process that is to end. */
+/* Callers' idle connections are closed after this time during a shutdown. */
 #define STOP_IDLE_MS 1500
 
 #define STOP_CHECK_MS 50
@@ -52,16 +52,16 @@
     struct sas_mesh *mesh;
     struct sas_pool *pool;
     struct sas_relay *relay;
-    struct sas_directory directory;
+    struct sas_endpoints endpoints;
     struct sas_http_server *servers[LISTEN_COUNT];
     GRand *random;
-    uv_timer_t sweep;
-    uv_timer_t stop;
+    uv_timer_t sweep_timer;
+    uv_timer_t stop_timer;
     uv_signal_t signals[3];
-    uv_fs_poll_t file; /* the settings */
-    int open_handles;  /* of those above, while they are being closed */
+    uv_fs_poll_t settings_poll;
+    int open_handles; /* of the handles above, while they are being closed */
     struct sas_stop_plan stop_plan;
-    bool stop_was_over; /* at the check before */
+    bool was_drained; /* at the previous shutdown check */
     void (*reload)(void *data);
     void *reload_data;
 };
@@ -94,7 +94,7 @@
 }
 
 static int
-count_with_homes(const struct sas_fleet_config *config)
+count_with_allowed_regions(const struct sas_fleet_config *config)
 {
     int count = 0;
     for (guint i = 0; i < config->routes->len; i++) {
@@ -111,14 +111,14 @@
     struct sas_gateway *gateway = (struct sas_gateway *)listener;
     SasMesh_SetVersion(gateway->mesh, config->version);
     if (gateway->servers[LISTEN_CALLER] == NULL) {
-        return; /* the process ends */
+        return; /* the process is shutting down */
     }
     struct sas_http_server_limits limits = get_caller_limits(gateway);
     SasHttpServer_SetLimits(gateway->servers[LISTEN_CALLER], &limits);
     SasLog_Write(SasLog_INFO, "config.apply", "",
                  "version=%" G_GINT64_FORMAT " routes=%u homes=%d",
                  config->version, config->routes->len,
-                 count_with_homes(config));
+                 count_with_allowed_regions(config));
 }
 
 static int
@@ -132,8 +132,8 @@
     const struct sas_address *addresses[LISTEN_COUNT] = {&s->caller, &s->ready,
                                                          &s->lookup, &s->peer};
     struct sas_http_handler *handlers[LISTEN_COUNT] = {
-        SasRelay_GetHandler(gateway->relay), &gateway->directory.operators,
-        &gateway->directory.callers, gateway->source->peers};
+        SasRelay_GetHandler(gateway->relay), &gateway->endpoints.operators,
+        &gateway->endpoints.callers, gateway->source->peers};
     for (int i = 0; i < LISTEN_COUNT; i++) {
         gateway->servers[i] = SasHttpServer_Open(
             gateway->loop, addresses[i], i == LISTEN_CALLER ? &limits : &small,
@@ -146,8 +146,8 @@
 }
 
 static void
-open_parts(struct sas_gateway *gateway,
-           const struct sas_gateway_options *given)
+open_components(struct sas_gateway *gateway,
+                const struct sas_gateway_options *given)
 {
     gateway->pool = SasPool_New(gateway->loop, gateway->fleet);
     struct sas_relay_options options = {
@@ -162,14 +162,14 @@
         .steering = given->steering,
     };
     gateway->relay = SasRelay_New(&options);
-    gateway->directory.loop = gateway->loop;
-    gateway->directory.fleet = gateway->fleet;
-    gateway->directory.mesh = gateway->mesh;
-    gateway->directory.metrics = gateway->metrics;
-    gateway->directory.settings = gateway->settings;
-    gateway->directory.wire = given->wire;
-    gateway->directory.steering = given->steering;
-    SasDirectory_Init(&gateway->directory);
+    gateway->endpoints.loop = gateway->loop;
+    gateway->endpoints.fleet = gateway->fleet;
+    gateway->endpoints.mesh = gateway->mesh;
+    gateway->endpoints.metrics = gateway->metrics;
+    gateway->endpoints.settings = gateway->settings;
+    gateway->endpoints.wire = given->wire;
+    gateway->endpoints.steering = given->steering;
+    SasEndpoints_Init(&gateway->endpoints);
 }
 
 struct sas_gateway *
@@ -190,18 +190,18 @@
     if (gateway->mesh == NULL) {
         return NULL;
     }
-    open_parts(gateway, options);
+    open_components(gateway, options);
     if (open_servers(gateway, error) != 0) {
         return NULL;
     }
     SasFleet_AddListener(gateway->fleet, &gateway->listener);
-    uv_timer_init(loop, &gateway->sweep);
-    uv_timer_init(loop, &gateway->stop);
-    gateway->sweep.data = gateway;
-    gateway->stop.data = gateway;
-    uv_fs_poll_init(loop, &gateway->file);
-    gateway->file.data = gateway;
-    uv_timer_start(&gateway->sweep, on_sweep, SWEEP_MS, SWEEP_MS);
+    uv_timer_init(loop, &gateway->sweep_timer);
+    uv_timer_init(loop, &gateway->stop_timer);
+    gateway->sweep_timer.data = gateway;
+    gateway->stop_timer.data = gateway;
+    uv_fs_poll_init(loop, &gateway->settings_poll);
+    gateway->settings_poll.data = gateway;
+    uv_timer_start(&gateway->sweep_timer, on_sweep, SWEEP_MS, SWEEP_MS);
     static const int numbers[] = {SIGTERM, SIGINT, SIGHUP};
     for (int i = 0; i < 3; i++) {
         uv_signal_init(loop, &gateway->signals[i]);
@@ -253,14 +253,14 @@
     close_servers(gateway);
     SasPool_Free(gateway->pool);
     SasMesh_Close(gateway->mesh);
-    close_handle(gateway, (uv_handle_t *)&gateway->sweep);
-    close_handle(gateway, (uv_handle_t *)&gateway->stop);
-    close_handle(gateway, (uv_handle_t *)&gateway->file);
+    close_handle(gateway, (uv_handle_t *)&gateway->sweep_timer);
+    close_handle(gateway, (uv_handle_t *)&gateway->stop_timer);
+    close_handle(gateway, (uv_handle_t *)&gateway->settings_poll);
     for (int i = 0; i < 3; i++) {
         close_handle(gateway, (uv_handle_t *)&gateway->signals[i]);
     }
-    /* Not until the loop is empty: others may have handles on it, and the
-     * admin port's HTTP library never gives up its timers. */
+    /* Doesn't wait for an empty loop: others may have handles on it, and the
+     * admin port's HTTP library never closes its timers. */
     while (gateway->open_handles > 0) {
         uv_run(gateway->loop, UV_RUN_ONCE);
     }
@@ -273,7 +273,7 @@
 bool
 SasGateway_IsReady(const struct sas_gateway *gateway)
 {
-    return gateway->directory.ready && !gateway->directory.leaving;
+    return gateway->endpoints.ready && !gateway->endpoints.leaving;
 }
 
 struct sas_mesh *
@@ -301,7 +301,8 @@
                      uv_strerror(status));
         return;
     }
-    SasLog_Write(SasLog_INFO, "process.reload", "", "the file has changed");
+    SasLog_Write(SasLog_INFO, "process.reload", "",
+                 "the settings file has changed");
     gateway->reload(gateway->reload_data);
 }
 
@@ -311,7 +312,8 @@
 {
     gateway->reload = reload;
     gateway->reload_data = data;
-    uv_fs_poll_start(&gateway->file, on_file_changed, path, FILE_POLL_MS);
+    uv_fs_poll_start(&gateway->settings_poll, on_file_changed, path,
+                     FILE_POLL_MS);
 }
 
 static void
@@ -321,14 +323,14 @@
     SasPool_Sweep(gateway->pool);
     bool ready = SasFleet_GetConfig(gateway->fleet) != NULL &&
                  gateway->source->is_ready(gateway->source);
-    if (ready != gateway->directory.ready) {
-        gateway->directory.ready = ready;
+    if (ready != gateway->endpoints.ready) {
+        gateway->endpoints.ready = ready;
         SasLog_Write(SasLog_INFO, "process.ready", "", "ready=%d", ready);
     }
 }
 
-/* Stopping: out of the look-ups and not ready at once; requests that still
- * come are served, for callers keep what they were told for a while. */
+/* Shutdown. The entry VM leaves the lookups and reports "not ready" at once.
+ * It still serves new requests, since callers cache lookups for a while. */
 
 static void
 begin_stop(struct sas_gateway *gateway, int number)
@@ -343,11 +345,11 @@
         "signal=%d requests=%d connections=%d", number,
         SasHttpServer_CountExchanges(gateway->servers[LISTEN_CALLER]),
         SasHttpServer_CountConnections(gateway->servers[LISTEN_CALLER]));
-    gateway->directory.leaving = true;
+    gateway->endpoints.leaving = true;
     SasRelay_Stop(gateway->relay, &gateway->stop_plan);
     SasMesh_Leave(gateway->mesh);
     SasHttpServer_Drain(gateway->servers[LISTEN_CALLER], STOP_IDLE_MS);
-    uv_timer_start(&gateway->stop, on_stop_check, STOP_CHECK_MS,
+    uv_timer_start(&gateway->stop_timer, on_stop_check, STOP_CHECK_MS,
                    STOP_CHECK_MS);
 }
 
@@ -357,13 +359,14 @@
     if (busy > 0) {
         SasLog_Write(
             SasLog_ERROR, "process.stop", "",
-            "connections=%d requests=%d are cut off at the stop's limit", busy,
+            "connections=%d requests=%d are closed at the shutdown deadline",
+            busy,
             SasHttpServer_CountExchanges(gateway->servers[LISTEN_CALLER]));
     }
-    uv_timer_stop(&gateway->stop);
+    uv_timer_stop(&gateway->stop_timer);
     gateway->source->stop(gateway->source);
-    /* Closing the other parts runs the loop again: from here on nothing may be
-     * taken. */
+    /* SasGateway_Close runs the loop again; no connection may be accepted
+     * then. */
     close_servers(gateway);
     uv_stop(gateway->loop);
 }
@@ -380,20 +383,20 @@
     struct sas_gateway *gateway = timer->data;
     int64_t now_ms = (int64_t)uv_now(gateway->loop);
     if (SasStop_IsGivenUp(&gateway->stop_plan, now_ms)) {
-        SasRelay_GiveUp(gateway->relay);
+        SasRelay_FailPending(gateway->relay);
     }
     const struct sas_http_server *callers = gateway->servers[LISTEN_CALLER];
     struct sas_stop_left left = {
         .connections = SasHttpServer_CountConnections(callers),
         .busy = SasHttpServer_CountBusy(callers),
     };
-    bool over = SasStop_IsOver(&gateway->stop_plan, now_ms, &left);
-    /* After a pause of the process callers may wait at the port: the sockets
-     * are read once more before it ends. */
-    bool settled = gateway->stop_was_over ||
-                   SasStop_IsAtLimit(&gateway->stop_plan, now_ms);
-    gateway->stop_was_over = over;
-    if (over && settled) {
+    bool drained = SasStop_IsOver(&gateway->stop_plan, now_ms, &left);
+    /* If the process was frozen, unread requests may wait on the sockets. So
+     * they are read once more, until the next check, before it ends. */
+    bool confirmed =
+        gateway->was_drained || SasStop_IsAtLimit(&gateway->stop_plan, now_ms);
+    gateway->was_drained = drained;
+    if (drained && confirmed) {
         end_process(gateway, left.busy);
     }
 }
--- a/packages/gateway/src/relay_attempt.c
+++ b/packages/gateway/src/relay_attempt.c
@@ -1,4 +1,4 @@
-/* One attempt of a request at a backend server. */
+/* Sends a request to a backend server and handles the answer. */
 #include "relay_call.h"
 
 #include <stdio.h>
@@ -10,11 +10,12 @@
 
 #include "sas/log.h"
 
-/* The reset of a forgotten connection is back within a round trip. */
-#define FORGOTTEN_MS 100
+/* If the server had dropped an idle connection, its reset arrives within a
+ * round trip. */
+#define DROPPED_IDLE_RESET_MS 100
 
-/* How long rested connections are not trusted after one was found dead. */
-#define WARY_MS 30000
+/* After such a reset, idle connections are avoided for this time. */
+#define AVOID_IDLE_MS 30000
 
 static void on_head(struct sas_http_user *user, int status,
                     const struct sas_http_header *headers, int header_count);
@@ -32,17 +33,18 @@
 
 /* Sending. */
 
-/* Header fields of the caller, those of the attempt in place of its own. */
+/* Copies the caller's header fields, without hop-by-hop fields and with the
+ * attempt's deadline and target. */
 static int
 fill_headers(const struct relay_call *call, struct sas_http_header *headers,
              const char *left_ms)
 {
     const struct sas_entry_wire *wire = call->relay->options.wire;
-    int given = 0;
+    int given_count = 0;
     const struct sas_http_header *from =
-        SasHttpExchange_GetHeaders(call->exchange, &given);
+        SasHttpExchange_GetHeaders(call->exchange, &given_count);
     int count = 0;
-    for (int i = 0; i < given; i++) {
+    for (int i = 0; i < given_count; i++) {
         const char *name = from[i].name;
         if (SasHttp_IsHopHeader(name) || strcasecmp(name, "Host") == 0 ||
             strcasecmp(name, "Expect") == 0 ||
@@ -59,18 +61,20 @@
     return count;
 }
 
-/* A server may forget a connection that rests, and resets whatever comes on it
- * next; nobody can tell then whether it ran. What may not repeat goes on such
- * a connection only while none has been found dead lately: a new one costs a
- * round trip, 40 ms to another region. */
+/* A server may drop an idle connection without notice and reset the next
+ * request on it; nobody can tell then whether that ran. Once such a reset was
+ * seen, requests that must not run twice avoid idle connections for a while.
+ * Always opening a new one would cost a round trip, 40 ms to another region.
+ */
 static int64_t
-get_max_rest(const struct relay_call *call, int64_t now_ms)
+get_max_idle(const struct relay_call *call, int64_t now_ms)
 {
     const struct service_state *service =
         SasRelay_GetService(call->relay, call->service);
-    bool wary = now_ms < service->wary_until;
-    return wary && call->route->kind != SAS_ROUTE_SAFE ? SasPool_FRESH_MS
-                                                       : INT64_MAX;
+    bool avoid_idle = now_ms < service->avoid_idle_until;
+    return avoid_idle && call->route->kind != SAS_ROUTE_SAFE
+               ? SasPool_TRUSTED_IDLE_MS
+               : INT64_MAX;
 }
 
 void
@@ -101,8 +105,8 @@
     request.body = SasHttpExchange_GetBody(call->exchange, &request.body_size);
     call->user.vtable = &user_vtable;
     call->pooled =
-        SasPool_Take(relay->options.pool, slot, get_max_rest(call, now_ms));
-    call->rest_ms = SasPool_GetRest(call->pooled);
+        SasPool_Acquire(relay->options.pool, slot, get_max_idle(call, now_ms));
+    call->conn_idle_ms = SasPool_GetIdleMs(call->pooled);
     SasHttp_Send(SasPool_GetConn(call->pooled), &request, left_ms,
                  &call->user);
 }
@@ -124,7 +128,7 @@
     if (call->pooled != NULL) {
         struct sas_pooled *pooled = call->pooled;
         end_attempt(call, false);
-        SasPool_Drop(pooled);
+        SasPool_Discard(pooled);
     }
 }
 
@@ -136,8 +140,8 @@
     call->status = 0;
     call->sealed = false;
     call->not_run = false;
-    call->spoiled = false;
-    call->idle_ms = 0;
+    call->unusable = false;
+    call->keep_alive_ms = 0;
     call->report.running = -1;
     call->report.waiting = 0;
     g_ptr_array_set_size(call->answer_headers, 0);
@@ -156,8 +160,8 @@
     }
 }
 
-/* "timeout=5, max=100": whole seconds that the server keeps an idle
- * connection. */
+/* Parses "timeout=5, max=100": seconds that the server keeps an idle
+ * connection. Returns milliseconds; 0 if there is no timeout. */
 static int64_t
 read_keep_alive(const char *text)
 {
@@ -168,7 +172,7 @@
 }
 
 static void
-take_header(struct relay_call *call, const struct sas_http_header *header)
+apply_header(struct relay_call *call, const struct sas_http_header *header)
 {
     const struct sas_entry_wire *wire = call->relay->options.wire;
     if (strcasecmp(header->name, wire->load) == 0) {
@@ -176,7 +180,7 @@
         return;
     }
     if (strcasecmp(header->name, "Keep-Alive") == 0) {
-        call->idle_ms = read_keep_alive(header->value);
+        call->keep_alive_ms = read_keep_alive(header->value);
         return;
     }
     if (strcasecmp(header->name, wire->seal) == 0) {
@@ -186,7 +190,7 @@
         call->not_run = true;
     }
     else if (strcasecmp(header->name, "Content-Encoding") == 0) {
-        call->spoiled = true;
+        call->unusable = true;
     }
     if (!SasHttp_IsHopHeader(header->name)) {
         g_ptr_array_add(call->answer_headers, g_strdup(header->name));
@@ -202,9 +206,9 @@
     const struct sas_entry_wire *wire = call->relay->options.wire;
     const char *id =
         SasHttp_FindHeader(headers, header_count, wire->request_id);
-    /* A second answer to an earlier request may come where ours is due; the
-     * id tells. Taken for ours, a caller would get another's record. A
-     * server that refuses a request may leave the id out. */
+    /* A duplicate answer to an earlier request may arrive first. Its request
+     * id differs; without this check a caller could get another's data. A
+     * server that refuses a request may omit the id. */
     bool refused = SasHttp_FindHeader(headers, header_count, wire->not_run) ||
                    status == 421;
     if ((id != NULL && strcmp(id, call->request_id) != 0) ||
@@ -219,7 +223,7 @@
     SasRelay_ClearAnswer(call);
     call->status = status;
     for (int i = 0; i < header_count; i++) {
-        take_header(call, &headers[i]);
+        apply_header(call, &headers[i]);
     }
 }
 
@@ -228,19 +232,18 @@
 {
     struct relay_call *call = (struct relay_call *)user;
     if (call->answer_body->len + size > SasRelay_MAX_ANSWER) {
-        call->spoiled = true;
+        call->unusable = true;
         return;
     }
     g_string_append_len(call->answer_body, data, (gssize)size);
 }
 
-/* Whether the answer may go to the caller as it is. A success counts only
- * with the server's seal; and the statuses that promise "not run" must not
- * come from a server that doesn't say so. */
+/* Whether the answer may be delivered unchanged. A 2xx answer needs the
+ * server's seal. The statuses that promise "not run" are never passed on. */
 static bool
 is_deliverable(const struct relay_call *call)
 {
-    if (call->spoiled) {
+    if (call->unusable) {
         return false;
     }
     switch (call->status) {
@@ -257,8 +260,8 @@
 static void
 deliver(struct relay_call *call)
 {
-    SasSuspects_NoteSurvived(call->relay->suspects,
-                             SasRelay_GetFingerprint(call));
+    SasPoisonRequests_NoteCompleted(call->relay->poison_requests,
+                                    SasRelay_GetFingerprint(call));
     int count = (int)call->answer_headers->len / 2;
     struct sas_http_header headers[SasHttp_MAX_HEADERS];
     count = MIN(count, SasHttp_MAX_HEADERS);
@@ -277,44 +280,44 @@
                     &reply);
 }
 
-/* A server's error to what may repeat: another server may do better, and the
- * error is delivered if none does. */
+/* A safe request that got a server error is tried once more elsewhere. The
+ * error is held back as the fallback answer. */
 static bool
-is_worth_another(const struct relay_call *call)
+is_worth_retry(const struct relay_call *call)
 {
-    return call->route->kind == SAS_ROUTE_SAFE && call->kept.status == 0 &&
+    return call->route->kind == SAS_ROUTE_SAFE && call->fallback.status == 0 &&
            call->status >= 500 && call->status != 504;
 }
 
 static void
-keep_answer(struct relay_call *call)
+save_fallback(struct relay_call *call)
 {
-    call->kept.status = call->status;
-    call->kept.headers = call->answer_headers;
-    call->kept.body = call->answer_body;
+    call->fallback.status = call->status;
+    call->fallback.headers = call->answer_headers;
+    call->fallback.body = call->answer_body;
     call->answer_headers = g_ptr_array_new_with_free_func(g_free);
     call->answer_body = g_string_new(NULL);
 }
 
 bool
-SasRelay_DeliverKept(struct relay_call *call)
+SasRelay_DeliverFallback(struct relay_call *call)
 {
-    if (call->kept.status == 0) {
+    if (call->fallback.status == 0) {
         return false;
     }
     g_ptr_array_free(call->answer_headers, TRUE);
     g_string_free(call->answer_body, TRUE);
-    call->status = call->kept.status;
-    call->answer_headers = call->kept.headers;
-    call->answer_body = call->kept.body;
-    call->kept.status = 0;
+    call->status = call->fallback.status;
+    call->answer_headers = call->fallback.headers;
+    call->answer_body = call->fallback.body;
+    call->fallback.status = 0;
     deliver(call);
     return true;
 }
 
-/* May it run once more although it may have run? */
+/* The request may have run: retries it if it is safe, fails it otherwise. */
 static void
-repeat_or_fail(struct relay_call *call, const char *outcome)
+retry_or_fail(struct relay_call *call, const char *outcome)
 {
     if (call->route->kind == SAS_ROUTE_SAFE) {
         SasRelay_Choose(call);
@@ -323,15 +326,16 @@
     SasRelay_Fail(call, outcome, 502);
 }
 
-/* What the answer shows of the route's work, and of who knows the object. */
+/* Records the service time, and that the object is cached at the server now.
+ */
 static void
-note_work(struct relay_call *call, double elapsed_ms)
+note_service_time(struct relay_call *call, double elapsed_ms)
 {
     struct sas_relay *relay = call->relay;
     const struct sas_fleet_server *server =
         SasFleet_At(relay->options.fleet, call->server.slot);
     if (SasTraffic_FoundSlot(server, call->load_when_sent)) {
-        SasPace_Note(&SasRelay_GetRouteState(call)->pace, call->known,
+        SasPace_Note(&SasRelay_GetRouteState(call)->service_time, call->cached,
                      elapsed_ms);
     }
     if (call->keyed) {
@@ -341,7 +345,7 @@
 }
 
 static void
-note_run(struct relay_call *call, bool timed_out)
+note_result(struct relay_call *call, bool timed_out)
 {
     struct sas_relay *relay = call->relay;
     struct sas_fleet *fleet = relay->options.fleet;
@@ -352,20 +356,20 @@
     struct sas_traffic_end end = {
         .elapsed_ms = (double)(now_ms - call->sent_at),
         .load_when_sent = call->load_when_sent,
-        .known = call->known,
+        .known = call->cached,
         .timed_out = timed_out,
         .failed = !timed_out && call->status / 100 != 2,
     };
-    SasRelay_TellChange(
+    SasRelay_ReportChange(
         relay, call->server.slot,
         SasTraffic_NoteRun(fleet, call->server.slot, &end, now_ms),
         timed_out ? "timed out" : "slow");
-    if (relay->in_doubt &&
+    if (relay->rows_stale &&
         SasTraffic_IsSlow(SasFleet_At(fleet, call->server.slot))) {
-        SasRelay_SuspectCold(relay, call->server.slot);
+        SasRelay_AssumeCold(relay, call->server.slot);
     }
     if (!timed_out && call->status / 100 == 2) {
-        note_work(call, end.elapsed_ms);
+        note_service_time(call, end.elapsed_ms);
         SasRelay_NoteAnswered(relay, call->server.slot);
     }
     else if (!timed_out && call->status >= 500) {
@@ -378,32 +382,32 @@
 {
     struct relay_call *call = (struct relay_call *)user;
     struct sas_relay *relay = call->relay;
-    (void)whole; /* framed by its close, and closed in order: whole too */
+    (void)whole; /* if framed by an orderly close, it counts as whole too */
     int64_t now_ms = SasRelay_Now(relay);
     struct sas_pooled *pooled = call->pooled;
     struct sas_fleet_server *server =
         SasFleet_GetServer(relay->options.fleet, call->server);
     end_attempt(call, true);
     if (reusable) {
-        SasPool_Give(pooled, call->idle_ms);
+        SasPool_Release(pooled, call->keep_alive_ms);
     }
     bool not_run = call->not_run || call->status == 421;
-    call->same_again = call->not_run && call->status != 421 &&
-                       server != NULL &&
-                       SasTraffic_FoundSlot(server, call->load_when_sent);
+    call->retry_same_server =
+        call->not_run && call->status != 421 && server != NULL &&
+        SasTraffic_FoundSlot(server, call->load_when_sent);
     if (server != NULL) {
         SasTraffic_NoteReport(relay->options.fleet, call->server.slot,
                               &call->report, now_ms);
         if (!not_run) {
-            note_run(call, false);
+            note_result(call, false);
         }
         if (call->status == 421) {
-            /* Its address is another server's by now; its entry lags. */
-            SasRelay_TellChange(relay, call->server.slot,
-                                SasTraffic_NoteReplaced(relay->options.fleet,
-                                                        call->server.slot,
-                                                        now_ms),
-                                "address is another server's");
+            /* Another server has its address; its row is out of date. */
+            SasRelay_ReportChange(relay, call->server.slot,
+                                  SasTraffic_NoteReplaced(relay->options.fleet,
+                                                          call->server.slot,
+                                                          now_ms),
+                                  "address is another server's");
         }
     }
     if (not_run) {
@@ -411,8 +415,8 @@
         return;
     }
     call->attempts++;
-    if (is_deliverable(call) && is_worth_another(call)) {
-        keep_answer(call);
+    if (is_deliverable(call) && is_worth_retry(call)) {
+        save_fallback(call);
         SasRelay_Choose(call);
         return;
     }
@@ -420,7 +424,7 @@
         deliver(call);
         return;
     }
-    repeat_or_fail(call, "spoiled answer");
+    retry_or_fail(call, "spoiled answer");
 }
 
 static void
@@ -431,34 +435,37 @@
     if (SasFleet_GetServer(fleet, call->server) == NULL) {
         return;
     }
-    SasRelay_TellChange(relay, call->server.slot,
-                        SasTraffic_NoteFailure(fleet, call->server.slot,
-                                               connected, SasRelay_Now(relay)),
-                        connected ? "connection lost" : "no connection");
+    SasRelay_ReportChange(relay, call->server.slot,
+                          SasTraffic_NoteFailure(fleet, call->server.slot,
+                                                 connected,
+                                                 SasRelay_Now(relay)),
+                          connected ? "connection lost" : "no connection");
     if (connected) {
         SasRelay_NoteFailed(relay, call->server.slot);
     }
 }
 
-/* A rested connection was dead: that says nothing of the server. */
+/* The server had probably dropped the idle connection; that does not count as
+ * a failure of the server. */
 static bool
-was_forgotten(const struct relay_call *call,
-              const struct sas_http_failure *failure)
+was_dropped_idle(const struct relay_call *call,
+                 const struct sas_http_failure *failure)
 {
     return failure->sent && !failure->begun &&
-           call->rest_ms >= SasPool_FRESH_MS &&
-           SasRelay_Now(call->relay) - call->sent_at < FORGOTTEN_MS;
+           call->conn_idle_ms >= SasPool_TRUSTED_IDLE_MS &&
+           SasRelay_Now(call->relay) - call->sent_at < DROPPED_IDLE_RESET_MS;
 }
 
-/* Also where the connection seems to have been forgotten: a crash at once
+/* Also called if the idle connection had probably been dropped: a crash right
  * after the first byte looks the same. */
 static void
-note_suspect(struct relay_call *call)
+note_lost(struct relay_call *call)
 {
     struct sas_relay *relay = call->relay;
     if (SasFleet_GetServer(relay->options.fleet, call->server) != NULL) {
-        SasSuspects_NoteLost(relay->suspects, SasRelay_GetFingerprint(call),
-                             call->server.slot, call->alone);
+        SasPoisonRequests_NoteLost(relay->poison_requests,
+                                   SasRelay_GetFingerprint(call),
+                                   call->server.slot, call->isolated);
     }
 }
 
@@ -469,16 +476,16 @@
     end_attempt(call, false);
     if (failure->error.code == SAS_ETIMEOUT) {
         call->attempts++;
-        note_run(call, true);
-        if (!SasRelay_DeliverKept(call)) {
+        note_result(call, true);
+        if (!SasRelay_DeliverFallback(call)) {
             SasRelay_Fail(call, "timed out", 504);
         }
         return;
     }
-    call->same_again = was_forgotten(call, failure);
-    if (call->same_again) {
-        SasRelay_GetService(call->relay, call->service)->wary_until =
-            SasRelay_Now(call->relay) + WARY_MS;
+    call->retry_same_server = was_dropped_idle(call, failure);
+    if (call->retry_same_server) {
+        SasRelay_GetService(call->relay, call->service)->avoid_idle_until =
+            SasRelay_Now(call->relay) + AVOID_IDLE_MS;
     }
     else {
         note_failure(call, failure->sent);
@@ -486,14 +493,14 @@
     SasLog_WriteFields(SasLog_WARN, "attempt.failed", call->server_id,
                        "{s:s, s:b, s:b, s:I, s:s, s:s}", "request",
                        call->request_id, "sent", failure->sent, "begun",
-                       failure->begun, "rest_ms", (json_int_t)call->rest_ms,
-                       "at", failure->error.step, "cause",
-                       failure->error.text);
+                       failure->begun, "rest_ms",
+                       (json_int_t)call->conn_idle_ms, "at",
+                       failure->error.step, "cause", failure->error.text);
     if (!failure->sent) {
         SasRelay_Choose(call);
         return;
     }
     call->attempts++;
-    note_suspect(call);
-    repeat_or_fail(call, "connection lost");
+    note_lost(call);
+    retry_or_fail(call, "connection lost");
 }
