--- a/packages/core/include/sas/pace.h
+++ b/packages/core/include/sas/pace.h
@@ -1,15 +1,16 @@
-/* pace - how long the work of a request takes, learned from answers.
+/* pace - service times of requests, learned from answers.
  *
- * A backend server that handled an object lately answers in a fraction of the
- * time that a new one takes, so the two are learned apart. Only requests that
- * found a free slot are samples: with a queue the answer's time is the
- * queue's. A sample weighs by its length where that is below the estimate:
- * slots are held by long work, and a stream of trivial requests must not make
- * it look short. Before the first answer the route's latency objective stands
- * in: operators choose it close to the work that they know.
+ * A backend server that handled an object recently (the object is cached
+ * there) answers in a fraction of the time that another server takes, so the
+ * two service times are estimated separately. Only requests that found a free
+ * execution slot are samples: other times include the queue. A sample below
+ * the estimate weighs in proportion to its length: long work holds the slots,
+ * and a stream of trivial requests must not lower the estimate. Before the
+ * first answer the estimates derive from the route's latency objective, which
+ * operators choose close to the service time that they know.
  *
- * Every time of the policy that speaks of a server's work is a multiple of
- * these, so that work of 50 ms and of 3 s is decided alike. Times are
+ * Constants that depend on a server's work are multiples of the service time,
+ * so that work of 50 ms and of 3 s follows the same rules. Times are
  * milliseconds.
  */
 #ifndef SAS_PACE_H
@@ -17,44 +18,50 @@
 
 #include <stdbool.h>
 
-/* Before the first answer: work on a new object as a multiple of the route's
- * objective, and on a known one as a part of that on a new one. */
+/* Before the first answer: the service time of an uncached object as a
+ * multiple of the route's objective, and that of a cached object as a part of
+ * that of an uncached one. */
 #define SasPace_START_NEW 1.3
 #define SasPace_START_KNOWN 0.4
 
-/* Where a route states no objective. */
+/* For a route without an objective. */
 #define SasPace_DEFAULT_GOAL_MS 500.0
 
 struct sas_pace_estimate {
     double ms;
-    double samples; /* how many it rests on, counted up to a limit */
+    double samples; /* sum of the sample weights, up to a limit */
 };
 
 struct sas_pace {
     struct sas_pace_estimate known;
-    struct sas_pace_estimate fresh; /* objects new to the server */
-    struct sas_pace_estimate mixed; /* as they come */
-    double luck; /* part of the objects that seemed new and were known */
+    struct sas_pace_estimate fresh; /* uncached objects */
+    struct sas_pace_estimate mixed; /* all requests */
+    double unseen_hit_rate; /* part of the objects that were expected to be
+                               uncached and answered like cached ones */
 };
 
-/* goal_ms: the latency objective, 0 where there is none. */
-void SasPace_Init(struct sas_pace *pace, double goal_ms);
+/* objective_ms: the route's latency objective, 0 for none. */
+void SasPace_Init(struct sas_pace *pace, double objective_ms);
 
-/* Another objective, for what no answer has shown yet. */
-void SasPace_SetGoal(struct sas_pace *pace, double goal_ms);
+/* Changes the objective. Estimates that already have samples stay. */
+void SasPace_SetGoal(struct sas_pace *pace, double objective_ms);
 
-/* The answer to a request that found a free slot took work_ms. */
-void SasPace_Note(struct sas_pace *pace, bool known, double work_ms);
+/* Adds a sample: the answer to a request that found a free execution slot
+ * took service_ms. cached: whether the server was expected to have the object
+ * cached. */
+void SasPace_Note(struct sas_pace *pace, bool cached, double service_ms);
 
-/* Whether it rests on answers and not on the objective alone. */
+/* Whether enough answers have come for the estimate to be independent of the
+ * objective. */
 bool SasPace_IsLearned(const struct sas_pace *pace);
 
-/* Expected work. */
-double SasPace_Get(const struct sas_pace *pace, bool known);
+/* Expected service time. */
+double SasPace_Get(const struct sas_pace *pace, bool cached);
 
-/* Expected work on an object of which it is not known whether its owner knows
- * it. Other entry VMs' requests make objects known, and a process that has
- * started again remembers none: what its first answers show is believed. */
+/* Expected service time of an object at its owner, where this process has not
+ * seen the owner answer for it. Requests of other entry VMs may have cached
+ * it, and after a restart this process remembers no object; so the result
+ * follows the hit rate of such objects so far. */
 double SasPace_GetUnseen(const struct sas_pace *pace);
 
 #endif
--- a/packages/core/include/sas/traffic.h
+++ b/packages/core/include/sas/traffic.h
@@ -1,75 +1,79 @@
-/* traffic - what this process knows of a backend server's load, and whether
- * it is worth sending a request there.
+/* traffic - a backend server's load as this process knows it, and the circuit
+ * breaker that ejects failing servers.
  *
- * The load of a server is what it last reported with an answer, moved on by
- * what this process has sent and got back since. The part of it that belongs
- * to other entry VMs fades: it was true when the answer left the server, and
- * their requests end as ours do.
+ * The load of a server is what it last reported with an answer, plus what this
+ * process has sent since and minus what was answered. The other entry VMs'
+ * part of a report decays, as their requests end too.
  *
- * A pace is the time that a service's work on a new object takes (sas/pace.h).
- * Times are monotonic milliseconds, or paces where the name has no unit.
+ * An ejected server gets no new request for its ejection time. Then it is
+ * half-open and gets one probe request at a time: success ends the ejection,
+ * failure renews it.
+ *
+ * "Service time" means that of an uncached object (sas/pace.h). Times are
+ * monotonic milliseconds, or multiples of the service time where it is said.
  */
 #ifndef SAS_TRAFFIC_H
 #define SAS_TRAFFIC_H
 
 #include "sas/fleet.h"
 
-/* A queue absorbs a burst. One that stands serves nobody: every request waits
- * in it and is late, while the slots do no more work than with a short one.
- * So where one has stood for STANDING only a short one is allowed, for BRIEF
- * (sas/admit.h). In paces. */
-#define SasTraffic_QUEUE 2 /* requests that make a queue */
+/* A queue absorbs a burst. A standing queue only delays requests: the
+ * execution slots do no more work than with a short one. So when a queue has
+ * stood for STANDING service times, only a short one is admitted for BRIEF
+ * service times (sas/admit.h). */
+#define SasTraffic_QUEUE 2 /* waiting requests that count as a queue */
 #define SasTraffic_STANDING 2.0
 #define SasTraffic_BRIEF 8.0
 
-/* The others' part of a report halves in so many paces: their requests end as
- * ours do. */
+/* Half-life of the other entry VMs' part of a report, in service times. */
 #define SasTraffic_HALF_LIFE 0.6
 
-/* A server trips when it fails or lets requests run into their limits. Then it
- * gets nothing for a while, and after that one request at a time until one of
- * them shows that it is well. Its objects go to their next servers meanwhile.
- */
-#define SasTraffic_FAILURES 2 /* without a connection, in a row */
-#define SasTraffic_CUTS 3     /* or with one that broke under a request */
+/* Consecutive failures that eject a server: where the last one is a failed
+ * connect, and where it is a reset. Its objects go to the next servers of
+ * their ranking until it has recovered. */
+#define SasTraffic_FAILURES 2
+#define SasTraffic_CUTS 3
 
-/* Requests in a row that ran into their limit. Fewer happen to a server that
- * only works, where work on a new object takes most of the limit. */
+/* Consecutive timeouts that eject a server. A healthy but busy one has fewer,
+ * also where the service time is close to the timeout. */
 #define SasTraffic_TIMEOUTS 4
 
-/* A trial must end within so many paces; its object is mostly new to the
- * server. */
+/* A run that takes at most this many service times is healthy; a probe request
+ * has to be. Its object is mostly uncached at the server. */
 #define SasTraffic_TRIAL 1.6
 
-/* How long it gets nothing: at first, and doubled up to the second. A trouble
- * of a server lasts as long as it does, however long its work takes. */
+/* Ejection time: the first one, and the limit of its doubling with each failed
+ * probe request. It doesn't depend on the service time, as failures don't. */
 #define SasTraffic_HOLD_MS 1500
 #define SasTraffic_MAX_HOLD_MS 6000
 
-/* Runs in a row that show a server slow, and the paces that one on a known
- * object must take for it; one on a new object must fail a trial. */
+/* A server is slow after SLOW_RUNS consecutive slow runs. A run is slow beyond
+ * SLOW_KNOWN service times for a cached object, beyond TRIAL for an uncached
+ * one, and when it times out. */
 #define SasTraffic_SLOW_RUNS 2
 #define SasTraffic_SLOW_KNOWN 1.0
 
-/* No answer for so many paces is silence. */
+/* Service times without an answer after which a server with requests in flight
+ * is unresponsive. */
 #define SasTraffic_SILENCE 0.8
 
-/* An answer so recent proves a server well against another's word. In
- * paces. */
+/* Age of a healthy run, in service times, up to which it outweighs a peer
+ * report. */
 #define SasTraffic_WELL 1.6
 
-/* When the tester's verdict should have come after a hold: a second until a
- * request of the server's objects comes its way, and the paces of a trial
- * behind what is there. Sent to sooner, a server that is just being found
- * slow again gets some requests of each of the others. */
+/* How long the other entry VMs wait after an ejection time for the prober's
+ * report: VERDICT_MS until the prober has a request for one of the server's
+ * objects, and VERDICT service times for the probe request behind the
+ * server's queue. If they didn't wait, a server that is about to be ejected
+ * again would get requests from each of them. */
 #define SasTraffic_VERDICT_MS 1000
 #define SasTraffic_VERDICT 4.8
 
-/* Where more than this part of a service's servers is in trouble, the cause
- * is not the servers, and shunning them would only leave fewer. */
+/* If more than this part of a service's servers fail, the cause is not the
+ * servers, and ejecting more would only overload the others. */
 #define SasTraffic_MAX_TRIPPED 0.5
 
-/* A report as it comes with an answer; running < 0: none came. */
+/* The load that an answer reports, in requests; running < 0: none. */
 struct sas_traffic_report {
     int running;
     int waiting;
@@ -79,88 +83,97 @@
 struct sas_traffic_end {
     double elapsed_ms;
     double load_when_sent;
-    bool known; /* the server knew the object */
+    bool known; /* the server had the object cached */
     bool timed_out;
-    bool failed; /* an error, which says nothing of the usual time */
+    bool failed; /* an error answer, whose time is no service time */
 };
 
-/* Whether a request that was sent at this load met a free slot: only then does
- * its time say how long its work takes. */
+/* Whether a request that was sent at this load found a free execution slot, so
+ * that its time is a service time. */
 bool SasTraffic_FoundSlot(const struct sas_fleet_server *server,
                           double load_when_sent);
 
-/* A request was sent there, and it ended; answered: by any answer. */
+/* A request was sent to the server, or ended there. answered: an answer of any
+ * status came. */
 void SasTraffic_NoteSent(struct sas_fleet_server *server, int64_t now_ms);
 void SasTraffic_NoteEnded(struct sas_fleet_server *server, bool answered,
                           int64_t now_ms);
 
-/* Requests of this entry VM are there, and it has answered none for about as
- * long as one takes: it may have turned slow just now. */
+/* Whether this process has requests in flight at the server and got no answer
+ * for SasTraffic_SILENCE service times: it may have turned slow just now. The
+ * time counts from its first unanswered request, also when that one has been
+ * canceled, or from its last answer. */
 bool SasTraffic_IsSilent(const struct sas_fleet *fleet, int slot,
                          int64_t now_ms);
 
-/* Its last runs were slow, each for what it was: a cold server's are. */
+/* Whether its last SasTraffic_SLOW_RUNS runs were slow, as a cold server's
+ * are. */
 bool SasTraffic_IsSlow(const struct sas_fleet_server *server);
 
-/* What an answer says of the load. */
+/* Applies the load that an answer reports. */
 void SasTraffic_NoteReport(struct sas_fleet *fleet, int slot,
                            const struct sas_traffic_report *report,
                            int64_t now_ms);
 
-/* What these say of the server: all others should hear of a change. */
+/* What the functions below changed. The caller reports a change to the other
+ * entry VMs. */
 enum sas_traffic_change {
     SAS_TRAFFIC_SAME,
-    SAS_TRAFFIC_TRIPPED, /* for traffic.hold_ms from now on */
-    SAS_TRAFFIC_WELL
+    SAS_TRAFFIC_TRIPPED, /* ejected for traffic.hold_ms from now on */
+    SAS_TRAFFIC_WELL     /* recovered */
 };
 
-/* It ran the request, or didn't in time. */
+/* An attempt was answered or timed out. An error answer only resets the count
+ * of consecutive failures. */
 enum sas_traffic_change SasTraffic_NoteRun(struct sas_fleet *fleet, int slot,
                                            const struct sas_traffic_end *end,
                                            int64_t now_ms);
 
-/* No connection, or it broke under a request (cut). */
+/* The connection failed, or was reset during a request. */
 enum sas_traffic_change SasTraffic_NoteFailure(struct sas_fleet *fleet,
-                                               int slot, bool cut,
+                                               int slot, bool reset,
                                                int64_t now_ms);
 
-/* Another server has its address: it trips at once, and for long. */
+/* Another server answers at its address: ejects it at once, for
+ * SasTraffic_MAX_HOLD_MS. */
 enum sas_traffic_change SasTraffic_NoteReplaced(struct sas_fleet *fleet,
                                                 int slot, int64_t now_ms);
 
-/* Another entry VM says that it has tripped for left_ms more, or is well (0).
- * tester: this entry VM tries it again for all. Believed unless the server
- * has answered here in its usual time just now: one entry VM with a bad link
- * would otherwise take healthy servers from all. */
+/* Applies a peer report: the server is ejected for left_ms more, or has
+ * recovered (0). prober: this entry VM probes the server for all. A report of
+ * an ejection is ignored while a healthy run here is recent (SasTraffic_WELL),
+ * or one entry VM with a bad link would take healthy servers from all. */
 void SasTraffic_TakeWord(struct sas_fleet *fleet, int slot, int64_t left_ms,
-                         bool tester, int64_t now_ms);
+                         bool prober, int64_t now_ms);
 
-/* The trial after the hold is another's; this one waits for its word. */
+/* Another entry VM is the prober of this ejected server: wait for its report.
+ */
 void SasTraffic_AwaitWord(struct sas_fleet *fleet, int slot);
 
-/* It fails part of its requests (sas/grey.h), for left_ms as far as is known.
- * What may not repeat goes to other servers then. It is not shunned: under
- * load the others would have to refuse more than it fails. */
+/* Marks a grey failure (sas/grey.h) for left_ms. Requests that must not be
+ * retried go to other servers meanwhile. The server is not ejected: under load
+ * the others would have to refuse more requests than it fails. */
 void SasTraffic_NoteGrey(struct sas_fleet_server *server, int64_t left_ms,
                          int64_t now_ms);
 bool SasTraffic_IsGrey(const struct sas_fleet_server *server, int64_t now_ms);
 
-/* Whether it gets no new request at this moment. */
+/* Whether it gets no new request now: it is ejected, or half-open with a
+ * request in flight. */
 bool SasTraffic_IsShunned(const struct sas_fleet_server *server,
                           int64_t now_ms);
 
-/* The pace of a service, milliseconds. */
+/* The service time of an uncached object of the service. */
 double SasTraffic_GetPaceMs(const struct sas_fleet *fleet, int service);
 
-/* Requests there, running and waiting. */
+/* Requests at the server, running and waiting. */
 double SasTraffic_EstimateLoad(const struct sas_fleet *fleet, int slot,
                                int64_t now_ms);
 
-/* How long one more request would wait there for a slot. */
+/* Queue time of one more request at the server. */
 double SasTraffic_EstimateWaitMs(const struct sas_fleet *fleet, int slot,
                                  int64_t now_ms);
 
-/* Whether it has more free slots than spare. */
+/* Whether more than spare execution slots are free. */
 bool SasTraffic_HasRoom(const struct sas_fleet *fleet, int slot, int spare,
                         int64_t now_ms);
 
--- a/packages/core/src/traffic.c
+++ b/packages/core/src/traffic.c
@@ -8,12 +8,12 @@
     return SasPace_Get(&SasFleet_GetService(fleet, service)->pace, false);
 }
 
-/* So many paces at the server, in milliseconds. */
+/* Converts service times at the server to milliseconds. */
 static int64_t
-in_paces(const struct sas_fleet *fleet, int slot, double paces)
+in_service_times(const struct sas_fleet *fleet, int slot, double count)
 {
     int service = SasFleet_At(fleet, slot)->service;
-    return (int64_t)(paces * SasTraffic_GetPaceMs(fleet, service));
+    return (int64_t)(count * SasTraffic_GetPaceMs(fleet, service));
 }
 
 void
@@ -44,7 +44,7 @@
         &SasFleet_At(fleet, slot)->traffic;
     return traffic->in_flight > 0 && traffic->unanswered_since > 0 &&
            now_ms - traffic->unanswered_since >=
-               in_paces(fleet, slot, SasTraffic_SILENCE);
+               in_service_times(fleet, slot, SasTraffic_SILENCE);
 }
 
 bool
@@ -65,9 +65,9 @@
         traffic->queued_since = now_ms;
     }
     if (now_ms - traffic->queued_since >=
-        in_paces(fleet, slot, SasTraffic_STANDING)) {
+        in_service_times(fleet, slot, SasTraffic_STANDING)) {
         traffic->brief_until =
-            now_ms + in_paces(fleet, slot, SasTraffic_BRIEF);
+            now_ms + in_service_times(fleet, slot, SasTraffic_BRIEF);
     }
 }
 
@@ -86,29 +86,29 @@
     note_queue(fleet, slot, report->waiting, now_ms);
 }
 
-/* Tripping. */
+/* Circuit breaker. */
 
 static bool
-too_many_tripped(const struct sas_fleet *fleet, int service)
+too_many_ejected(const struct sas_fleet *fleet, int service)
 {
     const GArray *slots = SasFleet_GetService(fleet, service)->servers;
-    int tripped = 1; /* the next one */
+    int ejected = 1; /* the next one */
     for (guint i = 0; i < slots->len; i++) {
         int slot = g_array_index(slots, int, i);
-        tripped += SasFleet_At(fleet, slot)->traffic.tripped ? 1 : 0;
+        ejected += SasFleet_At(fleet, slot)->traffic.tripped ? 1 : 0;
     }
-    return tripped > SasTraffic_MAX_TRIPPED * slots->len;
+    return ejected > SasTraffic_MAX_TRIPPED * slots->len;
 }
 
 static enum sas_traffic_change
-trip(struct sas_fleet *fleet, int slot, int64_t now_ms)
+eject(struct sas_fleet *fleet, int slot, int64_t now_ms)
 {
     struct sas_fleet_server *server = SasFleet_At(fleet, slot);
     struct sas_server_traffic *traffic = &server->traffic;
     if (now_ms < MAX(traffic->shunned_until, traffic->warned_until)) {
-        return SAS_TRAFFIC_SAME; /* what was sent before it is coming back */
+        return SAS_TRAFFIC_SAME; /* a request from before the ejection */
     }
-    if (!traffic->tripped && too_many_tripped(fleet, server->service)) {
+    if (!traffic->tripped && too_many_ejected(fleet, server->service)) {
         return SAS_TRAFFIC_SAME;
     }
     traffic->hold_ms = traffic->tripped
@@ -130,18 +130,19 @@
     traffic->timeouts = 0;
 }
 
-/* How often the request could have run one after another in the slots. */
+/* Expected time of a request, queue included, in multiples of its service
+ * time. */
 static double
-count_rounds(const struct sas_fleet_server *server, double load_when_sent)
+get_queue_factor(const struct sas_fleet_server *server, double load_when_sent)
 {
     return MAX((load_when_sent + 1) / server->facts.slots, 1);
 }
 
 static enum sas_traffic_change
-end_trial(struct sas_fleet *fleet, int slot, bool well, int64_t now_ms)
+end_probe(struct sas_fleet *fleet, int slot, bool healthy, int64_t now_ms)
 {
-    if (!well) {
-        return trip(fleet, slot, now_ms);
+    if (!healthy) {
+        return eject(fleet, slot, now_ms);
     }
     recover(&SasFleet_At(fleet, slot)->traffic);
     return SAS_TRAFFIC_WELL;
@@ -154,10 +155,11 @@
     return load_when_sent < server->facts.slots;
 }
 
-/* A sample of the service's pace, if it found a free slot. */
+/* Adds a sample of the service time if the request found a free slot. */
 static void
-note_pace(struct sas_fleet *fleet, const struct sas_fleet_server *server,
-          const struct sas_traffic_end *end)
+note_service_time(struct sas_fleet *fleet,
+                  const struct sas_fleet_server *server,
+                  const struct sas_traffic_end *end)
 {
     if (!end->timed_out && SasTraffic_FoundSlot(server, end->load_when_sent)) {
         SasPace_Note(&SasFleet_GetService(fleet, server->service)->pace,
@@ -175,36 +177,38 @@
     if (end->failed) {
         return SAS_TRAFFIC_SAME;
     }
-    double paces = end->elapsed_ms /
-                   count_rounds(server, end->load_when_sent) /
-                   SasTraffic_GetPaceMs(fleet, server->service);
-    bool well = !end->timed_out && paces <= SasTraffic_TRIAL;
+    double relative_time = end->elapsed_ms /
+                           get_queue_factor(server, end->load_when_sent) /
+                           SasTraffic_GetPaceMs(fleet, server->service);
+    bool healthy = !end->timed_out && relative_time <= SasTraffic_TRIAL;
     traffic->timeouts = end->timed_out ? traffic->timeouts + 1 : 0;
-    if (well) {
+    if (healthy) {
         traffic->well_at = now_ms;
     }
-    bool slow = !well || (end->known && paces > SasTraffic_SLOW_KNOWN);
+    bool slow =
+        !healthy || (end->known && relative_time > SasTraffic_SLOW_KNOWN);
     traffic->slow_runs = slow ? traffic->slow_runs + 1 : 0;
     if (traffic->tripped && now_ms >= traffic->shunned_until) {
-        return end_trial(fleet, slot, well, now_ms);
+        return end_probe(fleet, slot, healthy, now_ms);
     }
-    note_pace(fleet, server, end);
-    return traffic->timeouts >= SasTraffic_TIMEOUTS ? trip(fleet, slot, now_ms)
-                                                    : SAS_TRAFFIC_SAME;
+    note_service_time(fleet, server, end);
+    return traffic->timeouts >= SasTraffic_TIMEOUTS
+               ? eject(fleet, slot, now_ms)
+               : SAS_TRAFFIC_SAME;
 }
 
 enum sas_traffic_change
-SasTraffic_NoteFailure(struct sas_fleet *fleet, int slot, bool cut,
+SasTraffic_NoteFailure(struct sas_fleet *fleet, int slot, bool reset,
                        int64_t now_ms)
 {
     struct sas_server_traffic *traffic = &SasFleet_At(fleet, slot)->traffic;
-    int limit = cut ? SasTraffic_CUTS : SasTraffic_FAILURES;
+    int limit = reset ? SasTraffic_CUTS : SasTraffic_FAILURES;
     traffic->failures++;
     if (!traffic->tripped && traffic->failures < limit) {
         return SAS_TRAFFIC_SAME;
     }
-    enum sas_traffic_change change = trip(fleet, slot, now_ms);
-    traffic->was_down = traffic->was_down || !cut;
+    enum sas_traffic_change change = eject(fleet, slot, now_ms);
+    traffic->was_down = traffic->was_down || !reset;
     return change;
 }
 
@@ -219,14 +223,15 @@
 }
 
 static int64_t
-get_verdict_ms(const struct sas_fleet *fleet, int slot)
+get_probe_result_ms(const struct sas_fleet *fleet, int slot)
 {
-    return SasTraffic_VERDICT_MS + in_paces(fleet, slot, SasTraffic_VERDICT);
+    return SasTraffic_VERDICT_MS +
+           in_service_times(fleet, slot, SasTraffic_VERDICT);
 }
 
 void
 SasTraffic_TakeWord(struct sas_fleet *fleet, int slot, int64_t left_ms,
-                    bool tester, int64_t now_ms)
+                    bool prober, int64_t now_ms)
 {
     struct sas_server_traffic *traffic = &SasFleet_At(fleet, slot)->traffic;
     if (left_ms == 0) {
@@ -234,13 +239,14 @@
         return;
     }
     if (traffic->well_at > 0 &&
-        now_ms - traffic->well_at < in_paces(fleet, slot, SasTraffic_WELL)) {
+        now_ms - traffic->well_at <
+            in_service_times(fleet, slot, SasTraffic_WELL)) {
         return;
     }
-    if (!tester) {
+    if (!prober) {
         traffic->warned_until =
             MAX(traffic->warned_until,
-                now_ms + left_ms + get_verdict_ms(fleet, slot));
+                now_ms + left_ms + get_probe_result_ms(fleet, slot));
         return;
     }
     if (!traffic->tripped) {
@@ -256,7 +262,7 @@
     struct sas_server_traffic *traffic = &SasFleet_At(fleet, slot)->traffic;
     traffic->warned_until =
         MAX(traffic->warned_until,
-            traffic->shunned_until + get_verdict_ms(fleet, slot));
+            traffic->shunned_until + get_probe_result_ms(fleet, slot));
 }
 
 void
--- a/packages/core/tests/test_pace.c
+++ b/packages/core/tests/test_pace.c
@@ -6,10 +6,10 @@
 #include "sas/pace.h"
 
 static void
-note_times(struct sas_pace *pace, int count, bool known, double work_ms)
+note_times(struct sas_pace *pace, int count, bool cached, double service_ms)
 {
     for (int i = 0; i < count; i++) {
-        SasPace_Note(pace, known, work_ms);
+        SasPace_Note(pace, cached, service_ms);
     }
 }
 
@@ -20,7 +20,7 @@
 }
 
 static void
-test_before_any_answer_the_objective_stands_in(void **state)
+test_objective_sets_the_initial_estimate(void **state)
 {
     (void)state;
     struct sas_pace pace;
@@ -31,10 +31,10 @@
     check_near(SasPace_Get(&pace, false), 800 * SasPace_START_NEW);
 }
 
-/* Load: a deployment whose work takes a tenth or ten times what its operators
- * had in mind. A dozen answers must be enough to know it. */
+/* The service takes from a tenth to ten times of what the objective says. A
+ * dozen answers must correct the estimate. */
 static void
-test_a_dozen_answers_show_work_of_any_length(void **state)
+test_a_dozen_answers_correct_a_wrong_objective(void **state)
 {
     (void)state;
     const double factors[] = {0.1, 0.3, 1, 3, 10};
@@ -48,10 +48,10 @@
     }
 }
 
-/* Load: callers ask trivial things all day beside real work. If these set the
- * pace, servers that only work look silent, and all of them are given up. */
+/* Three of four requests are trivial. If they set the estimate, servers that
+ * are busy with real work would look unresponsive and all be ejected. */
 static void
-test_trivial_requests_do_not_shorten_the_pace(void **state)
+test_trivial_requests_do_not_lower_the_estimate(void **state)
 {
     (void)state;
     struct sas_pace pace;
@@ -63,9 +63,9 @@
     assert_true(SasPace_Get(&pace, false) > 700);
 }
 
-/* Load: a quarter of the servers turn twelve times slower. */
+/* A quarter of the servers turn twelve times slower. */
 static void
-test_a_few_slow_servers_do_not_move_it_far(void **state)
+test_a_few_slow_servers_hardly_raise_the_estimate(void **state)
 {
     (void)state;
     struct sas_pace pace;
@@ -80,10 +80,10 @@
     assert_true(SasPace_Get(&pace, false) < 350);
 }
 
-/* With many entry VMs an object is mostly known to its server by another
- * one's requests. Its short answers say nothing of work on a new object. */
+/* With many entry VMs an object is mostly cached by another one's requests.
+ * Its short answers must not lower the estimate for uncached objects. */
 static void
-test_objects_that_others_made_known_do_not_count_as_new(void **state)
+test_objects_cached_by_others_do_not_count_as_uncached(void **state)
 {
     (void)state;
     struct sas_pace pace;
@@ -92,15 +92,15 @@
     note_times(&pace, 10, true, 90);
     note_times(&pace, 100, false, 90);
     check_near(SasPace_Get(&pace, false), 300);
-    note_times(&pace, 20, true, 300); /* forgotten by the server */
+    note_times(&pace, 20, true, 300); /* evicted by the server */
     check_near(SasPace_Get(&pace, true), 90);
 }
 
-/* An entry VM starts again among servers that have worked for hours. All
- * objects seem new to it; were that believed, it would refuse what its servers
- * end at once. */
+/* An entry VM restarts while its servers have most objects cached. It has seen
+ * none of them; if it took all for uncached, it would refuse requests that the
+ * servers answer quickly. */
 static void
-test_after_a_restart_objects_soon_count_as_known(void **state)
+test_after_a_restart_unseen_objects_soon_count_as_cached(void **state)
 {
     (void)state;
     struct sas_pace pace;
@@ -109,7 +109,7 @@
     note_times(&pace, 1, true, 90);
     note_times(&pace, 10, false, 90);
     assert_true(SasPace_GetUnseen(&pace) < 150);
-    note_times(&pace, 10, false, 400); /* the servers start again */
+    note_times(&pace, 10, false, 400); /* the servers restart */
     assert_true(SasPace_GetUnseen(&pace) > 300);
 }
 
@@ -117,13 +117,14 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_before_any_answer_the_objective_stands_in),
-        cmocka_unit_test(test_a_dozen_answers_show_work_of_any_length),
-        cmocka_unit_test(test_trivial_requests_do_not_shorten_the_pace),
-        cmocka_unit_test(test_a_few_slow_servers_do_not_move_it_far),
+        cmocka_unit_test(test_objective_sets_the_initial_estimate),
+        cmocka_unit_test(test_a_dozen_answers_correct_a_wrong_objective),
+        cmocka_unit_test(test_trivial_requests_do_not_lower_the_estimate),
+        cmocka_unit_test(test_a_few_slow_servers_hardly_raise_the_estimate),
         cmocka_unit_test(
-            test_objects_that_others_made_known_do_not_count_as_new),
-        cmocka_unit_test(test_after_a_restart_objects_soon_count_as_known),
+            test_objects_cached_by_others_do_not_count_as_uncached),
+        cmocka_unit_test(
+            test_after_a_restart_unseen_objects_soon_count_as_cached),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
