--- a/packages/core/include/sas/admit.h
+++ b/packages/core/include/sas/admit.h
@@ -1,19 +1,18 @@
-/* admit - which of an object's servers gets a request, or whether it is
- * refused at once.
+/* admit - admission control: which of an object's servers gets a request, or
+ * whether it is refused at once.
  *
- * For each server that may get it the end is worked out: the wait for a slot
- * behind what is there, and the work, which is short where the server knows
- * the object. It goes to the owner, or to another server that knows the
- * object and ends it sooner. Where neither can end it in time, the next server
- * gets to know the object if it has slots to spare: that request is late, and
- * those that follow have one more place to be in time.
+ * The completion time is estimated for each candidate: the wait for an
+ * execution slot plus the service time, which is short where the object is
+ * cached. The request goes to the owner or to another server with the object
+ * in its cache, whichever completes it first. If neither can in time, the next
+ * server gets it if that has spare slots: this request is late, but the ones
+ * that follow have one more server with the object in its cache.
  *
- * A request that can't end in time anywhere is refused, with the time after
- * which the backlog that stands in its way has been worked off: waiting in
- * a queue beyond that it would only make others late, and what may not repeat
- * is lost where it runs into its time limit at a server.
+ * A request that can't complete in time anywhere is refused, with the time
+ * until the backlog has been worked off. Queueing it would only delay others,
+ * and a request that must not be retried is lost if it times out at a server.
  *
- * Times are milliseconds.
+ * Times are milliseconds. Service times are those of sas/pace.h.
  */
 #ifndef SAS_ADMIT_H
 #define SAS_ADMIT_H
@@ -21,51 +20,52 @@
 #include "sas/fleet.h"
 #include "sas/objects.h"
 
-/* Servers that an object may have: the owner, and one for what the owner does
- * not bear. Each more makes the object new once more. */
+/* Servers of an object: the owner, and one for requests that the owner can't
+ * complete in time. Each has to load the object into its cache once. */
 #define SasAdmit_MAX_OWNERS 2
 
-/* Slots that stay free at a server that gets to know an object for its owner:
- * for the requests of its own objects. */
+/* Execution slots that stay free, for requests of cached objects, at a server
+ * that gets a request of an uncached one. */
 #define SasAdmit_SPARE_SLOTS 2
 
-/* A request that makes an object known to its server is under way for so many
- * works on a new object; after that it is taken for lost. */
+/* A request that brings an object into its server's cache is taken for lost
+ * after this time, in service times of an uncached object. */
 #define SasAdmit_LEARNING 2.0
 
-/* The part of the time left that the expected end may take: work is spread
- * round its mean. */
+/* The part of the remaining time that may be planned for wait and work, as
+ * service times vary. */
 #define SasAdmit_SAFETY 0.8
 
-/* What waits for a slot may wait so long at least, in works on a known object,
- * also where the objective is lost already. */
+/* The least wait that the objective allows, also when it is missed already, in
+ * service times of a cached object. The deadline still limits it. */
 #define SasAdmit_LEAST_WAIT 2.0
 
-/* Where a queue has stood, or nobody can tell whether servers are cold, only
- * this part of the wait is allowed, more for what is more urgent. */
+/* The part of the usual wait that is allowed after a standing queue, or while
+ * the servers' rows are stale; more for requests of high priority. */
 #define SasAdmit_BRIEF 0.4
 #define SasAdmit_BRIEF_URGENT 0.7
 
 struct sas_admit_query {
-    const int *slots; /* in the order of sas/owner.h, only usable ones */
+    const int *slots; /* eligible servers as ranked by sas/owner.h */
     int count;
-    const struct sas_objects *objects; /* NULL: its object never comes again */
+    const struct sas_objects *objects; /* NULL: a request without key */
     const struct sas_pace *pace;       /* of the route */
     uint64_t key;                      /* of the object */
-    double goal_ms; /* what is left until the route's objective */
-    double left_ms; /* until the caller's or the route's time limit */
-    bool urgent;    /* the route isn't of the lowest rank */
-    bool in_doubt;  /* a server may be cold without anybody knowing it */
+    double goal_ms; /* remaining until the latency objective */
+    double left_ms; /* remaining until the caller's or the route's deadline */
+    bool urgent;    /* high priority: the route isn't of the lowest one */
+    bool in_doubt;  /* the rows are stale: a server may be cold unnoticed */
 };
 
 struct sas_admit_verdict {
     int slot;               /* to send to; SasModel_NONE: refuse */
-    bool known;             /* the server knows the object */
-    double work_ms;         /* expected there, without the wait */
-    double wait_ms;         /* for a slot there; of a refusal at the owner */
-    int64_t retry_after_ms; /* of a refusal */
+    bool known;             /* the server has the object cached */
+    double work_ms;         /* expected service time there */
+    double wait_ms;         /* expected queue time; if refused, the owner's */
+    int64_t retry_after_ms; /* if refused */
 };
 
+/* Decides on the request. Refuses if count is 0. */
 struct sas_admit_verdict SasAdmit_Judge(const struct sas_fleet *fleet,
                                         const struct sas_admit_query *query,
                                         int64_t now_ms);
--- a/packages/core/include/sas/owner.h
+++ b/packages/core/include/sas/owner.h
@@ -1,21 +1,22 @@
-/* owner - which backend servers an object belongs to.
+/* owner - ranks the backend servers for an object by rendezvous hashing.
  *
  * A backend server that handled an object a few seconds ago answers in a
- * third of the time, so an object should meet as few servers as possible.
- * Every entry VM works out the same order for an object from the table of
- * servers alone, by weighted rendezvous hashing: when a server comes, goes or
- * is shunned only its own objects move.
+ * third of the time, so the requests for an object should reach few servers.
+ * Every entry VM computes the same ranking from the table of servers, by
+ * weighted rendezvous hashing: when a server joins, leaves or is ejected,
+ * only its own objects move.
  *
- * The region of an object is the caller's while the region's slots suffice
- * for an equal share of all the service's callers. A region with fewer slots
- * keeps that part of its objects and gives the others, object by object, to
- * regions with slots to spare. Without it the short region's servers drown
- * while others idle; moving single requests in place of objects would make
- * each of them cold work twice.
+ * An object is owned in its caller's region if that has an equal share of the
+ * service's execution slots, all slots / regions. A region with fewer slots
+ * keeps the part of its objects that its slots allow; the others are owned in
+ * regions with more slots than an equal share. Otherwise its servers would be
+ * overloaded while others idle. Whole objects move rather than single
+ * requests, which would find their object uncached at both servers.
  *
- * Bodies are kept off the links between failure domains: with near an object
- * has an owner in each zone of its region, with keep the caller states how
- * much stays (sas/keep.h). Each owner more makes every object new once more.
+ * To keep large bodies off the links between failure domains, a query can
+ * prefer the caller's zone, so that an object has an owner in each zone of its
+ * region, and can set the part of the objects that stays (sas/keep.h). Each
+ * further owner has to load the object into its cache once more.
  */
 #ifndef SAS_OWNER_H
 #define SAS_OWNER_H
@@ -27,22 +28,23 @@
 struct sas_owner_query {
     int service;
     int zone;       /* of the caller */
-    bool near;      /* the caller's zone before others of the region */
+    bool near;      /* rank the caller's zone before the rest of its region */
     double keep;    /* part of the objects that stay in the caller's region;
-                       0: what its slots bear */
+                       0: by its execution slots */
     uint64_t key;   /* hash of the object */
-    uint64_t homes; /* set of allowed regions; 0: any */
-    bool ordered;   /* an operator's order: to_region, if it has servers */
+    uint64_t homes; /* allowed regions, one bit each; 0: any */
+    bool ordered;   /* operators steer it to to_region, if that has servers */
     int to_region;
 };
 
-/* The object's servers, the owner first; at most max (no more than
- * SasOwner_MAX_CANDIDATES). Only open ones that aren't shunned at now_ms. */
+/* Fills slots with the object's servers, the owner first, and returns their
+ * number: at most max and SasOwner_MAX_CANDIDATES. Only servers in allowed
+ * regions that are open (SasFleet_IsOpen) and not ejected. */
 int SasOwner_Rank(const struct sas_fleet *fleet,
                   const struct sas_owner_query *query, int64_t now_ms,
                   int *slots, int max);
 
-/* Hash of an object's name, or of anything that stands for it. */
+/* Hash of an object's name or other key. */
 uint64_t SasOwner_HashKey(const char *key);
 
 #endif
--- a/packages/core/src/admit.c
+++ b/packages/core/src/admit.c
@@ -2,54 +2,55 @@
 
 #include "sas/traffic.h"
 
+/* Bounds of retry_after_ms. */
 #define MIN_RETRY_MS 50
 #define MAX_RETRY_MS 1000
 
-struct option {
+struct candidate {
     int slot;
-    bool known;
-    bool learning; /* a request that makes the object known is there */
+    bool cached;
+    bool warming; /* a request that caches the object is in flight */
     double wait_ms;
-    double work_ms;
-    double allowed_ms; /* how long it may wait there */
+    double service_ms;
+    double allowed_ms; /* longest wait */
 };
 
-/* How long it may wait and still end before its limit. A new route of a busy
- * service may have an objective far beyond its work; judged by that all its
- * requests would be refused while those of older routes are served, and no
- * answer would ever show better. Until one has, the service's pace bounds it.
+/* The longest wait that still meets the deadline. Before the first answers a
+ * route's service time derives from its objective, which may be far too long.
+ * All its requests would be refused while the service is busy, and no answer
+ * would ever correct it. So the service's service time bounds it until then.
  */
 static double
-get_latest_start(const struct sas_fleet *fleet,
-                 const struct sas_admit_query *query, int service,
-                 double work_ms)
+get_deadline_wait(const struct sas_fleet *fleet,
+                  const struct sas_admit_query *query, int service,
+                  double service_ms)
 {
     if (!SasPace_IsLearned(query->pace)) {
-        work_ms = MIN(work_ms, SasTraffic_GetPaceMs(fleet, service));
+        service_ms = MIN(service_ms, SasTraffic_GetPaceMs(fleet, service));
     }
-    return SasAdmit_SAFETY * query->left_ms - work_ms;
+    return SasAdmit_SAFETY * query->left_ms - service_ms;
 }
 
-/* How long a request may wait where its work takes work_ms. */
+/* The longest allowed wait for a request with this service time. */
 static double
 get_allowed_wait(const struct sas_fleet *fleet,
                  const struct sas_admit_query *query,
-                 const struct sas_fleet_server *server, double work_ms,
+                 const struct sas_fleet_server *server, double service_ms,
                  int64_t now_ms)
 {
     double least = SasAdmit_LEAST_WAIT * SasPace_Get(query->pace, true);
-    double allowed = MAX(query->goal_ms - work_ms, least);
+    double allowed = MAX(query->goal_ms - service_ms, least);
     if (query->in_doubt || now_ms < server->traffic.brief_until) {
         allowed *= query->urgent ? SasAdmit_BRIEF_URGENT : SasAdmit_BRIEF;
     }
     return MIN(allowed,
-               get_latest_start(fleet, query, server->service, work_ms));
+               get_deadline_wait(fleet, query, server->service, service_ms));
 }
 
-/* Whether a request from here that makes the object known is at the server. */
+/* Whether a request of this entry VM that caches the object is in flight. */
 static bool
-is_learning(const struct sas_fleet *fleet, const struct sas_admit_query *query,
-            int slot, int64_t now_ms)
+is_warming(const struct sas_fleet *fleet, const struct sas_admit_query *query,
+           int slot, int64_t now_ms)
 {
     if (query->objects == NULL) {
         return false;
@@ -61,104 +62,113 @@
     return sent_at > 0 && (double)(now_ms - sent_at) < limit_ms;
 }
 
-/* Only the owner may know what nobody here has seen it answer for. */
+/* Only the owner is expected to have objects cached by other entry VMs'
+ * requests. */
 static double
-get_work(const struct sas_admit_query *query, int slot, bool known)
+get_service_ms(const struct sas_admit_query *query, int slot, bool cached)
 {
-    return !known && slot == query->slots[0] ? SasPace_GetUnseen(query->pace)
-                                             : SasPace_Get(query->pace, known);
+    return !cached && slot == query->slots[0]
+               ? SasPace_GetUnseen(query->pace)
+               : SasPace_Get(query->pace, cached);
 }
 
-static struct option
-weigh(const struct sas_fleet *fleet, const struct sas_admit_query *query,
-      int slot, int64_t now_ms)
+static struct candidate
+evaluate(const struct sas_fleet *fleet, const struct sas_admit_query *query,
+         int slot, int64_t now_ms)
 {
     const struct sas_fleet_server *server = SasFleet_At(fleet, slot);
-    struct option option = {.slot = slot};
-    option.known =
+    struct candidate candidate = {.slot = slot};
+    candidate.cached =
         query->objects != NULL &&
         SasObjects_IsKnown(query->objects, server->service, query->key,
                            SasFleet_GetRef(fleet, slot));
-    option.learning = is_learning(fleet, query, slot, now_ms);
-    option.wait_ms = SasTraffic_EstimateWaitMs(fleet, slot, now_ms);
-    option.work_ms = get_work(query, slot, option.known);
-    option.allowed_ms =
-        get_allowed_wait(fleet, query, server, option.work_ms, now_ms);
-    return option;
+    candidate.warming = is_warming(fleet, query, slot, now_ms);
+    candidate.wait_ms = SasTraffic_EstimateWaitMs(fleet, slot, now_ms);
+    candidate.service_ms = get_service_ms(query, slot, candidate.cached);
+    candidate.allowed_ms =
+        get_allowed_wait(fleet, query, server, candidate.service_ms, now_ms);
+    return candidate;
 }
 
 static bool
-fits(const struct option *option)
+is_in_time(const struct candidate *candidate)
 {
-    return option->wait_ms <= 0 || option->wait_ms <= option->allowed_ms;
+    return candidate->wait_ms <= 0 ||
+           candidate->wait_ms <= candidate->allowed_ms;
 }
 
 static double
-get_end(const struct option *option)
+get_completion_ms(const struct candidate *candidate)
 {
-    return option->wait_ms + option->work_ms;
+    return candidate->wait_ms + candidate->service_ms;
 }
 
-/* The object's servers: the owner and those that know it. */
 static bool
-is_own(const struct option *option, int place)
+is_owner_or_cached(const struct candidate *candidate, int rank)
 {
-    return place == 0 || option->known;
+    return rank == 0 || candidate->cached;
 }
 
-/* Of the owner and those that know the object the one that ends it soonest. */
-static const struct option *
-find_soonest(const struct option *options, int count)
+/* Among the owner and the servers with the object cached, the one that
+ * completes the request first. */
+static const struct candidate *
+find_fastest(const struct candidate *candidates, int count)
 {
-    const struct option *best = NULL;
+    const struct candidate *best = NULL;
     for (int i = 0; i < count; i++) {
-        if (is_own(&options[i], i) && fits(&options[i]) &&
-            (best == NULL || get_end(&options[i]) < get_end(best))) {
-            best = &options[i];
+        const struct candidate *candidate = &candidates[i];
+        if (is_owner_or_cached(candidate, i) && is_in_time(candidate) &&
+            (best == NULL ||
+             get_completion_ms(candidate) < get_completion_ms(best))) {
+            best = candidate;
         }
     }
     return best;
 }
 
-/* An owner with slots to spare that nobody is making acquainted with the
- * object gets the request, also where another server would end it sooner: it
- * is new, or back, and would stay idle while others have all of its objects.
- */
-static const struct option *
-find_new_owner(const struct sas_fleet *fleet, const struct option *options,
-               int64_t now_ms)
+/* The owner, if it neither has the object cached nor is about to and has spare
+ * slots. It gets the request although another server may complete it sooner:
+ * a server that has just joined or recovered would otherwise stay idle while
+ * others handle its objects. */
+static const struct candidate *
+find_uncached_owner(const struct sas_fleet *fleet,
+                    const struct candidate *candidates, int64_t now_ms)
 {
-    bool wanted = !options[0].known && !options[0].learning;
-    return wanted && SasTraffic_HasRoom(fleet, options[0].slot,
-                                        SasAdmit_SPARE_SLOTS, now_ms)
-               ? &options[0]
+    bool uncached = !candidates[0].cached && !candidates[0].warming;
+    return uncached && SasTraffic_HasRoom(fleet, candidates[0].slot,
+                                          SasAdmit_SPARE_SLOTS, now_ms)
+               ? &candidates[0]
                : NULL;
 }
 
-/* The first to which the object is new and that has slots to spare. */
-static const struct option *
-find_spare(const struct sas_fleet *fleet, const struct option *options,
+/* The first server with spare slots that doesn't have the object cached. */
+static const struct candidate *
+find_spare(const struct sas_fleet *fleet, const struct candidate *candidates,
            int count, int64_t now_ms)
 {
     for (int i = 1; i < count; i++) {
-        if (!options[i].known && !options[i].learning && fits(&options[i]) &&
-            SasTraffic_HasRoom(fleet, options[i].slot, SasAdmit_SPARE_SLOTS,
+        const struct candidate *candidate = &candidates[i];
+        if (!candidate->cached && !candidate->warming &&
+            is_in_time(candidate) &&
+            SasTraffic_HasRoom(fleet, candidate->slot, SasAdmit_SPARE_SLOTS,
                                now_ms)) {
-            return &options[i];
+            return candidate;
         }
     }
     return NULL;
 }
 
-/* Until the first of them has worked off what stands in the way. */
+/* Time until the first of the object's servers has worked off enough of its
+ * backlog. */
 static int64_t
-get_retry_after(const struct option *options, int count)
+get_retry_after(const struct candidate *candidates, int count)
 {
     double soonest = MAX_RETRY_MS;
     for (int i = 0; i < count; i++) {
-        if (is_own(&options[i], i)) {
+        const struct candidate *candidate = &candidates[i];
+        if (is_owner_or_cached(candidate, i)) {
             soonest = MIN(soonest,
-                          options[i].wait_ms - MAX(options[i].allowed_ms, 0));
+                          candidate->wait_ms - MAX(candidate->allowed_ms, 0));
         }
     }
     return (int64_t)CLAMP(soonest, MIN_RETRY_MS, MAX_RETRY_MS);
@@ -168,30 +178,31 @@
 SasAdmit_Judge(const struct sas_fleet *fleet,
                const struct sas_admit_query *query, int64_t now_ms)
 {
-    struct sas_admit_verdict verdict = {.slot = SasModel_NONE};
-    struct option options[SasAdmit_MAX_OWNERS] = {0};
+    struct sas_admit_verdict decision = {.slot = SasModel_NONE};
+    struct candidate candidates[SasAdmit_MAX_OWNERS] = {0};
     int count = MIN(query->count, SasAdmit_MAX_OWNERS);
     if (count < 1) {
-        return verdict;
+        return decision;
     }
     for (int i = 0; i < count; i++) {
-        options[i] = weigh(fleet, query, query->slots[i], now_ms);
+        candidates[i] = evaluate(fleet, query, query->slots[i], now_ms);
     }
-    const struct option *best = find_new_owner(fleet, options, now_ms);
+    const struct candidate *best =
+        find_uncached_owner(fleet, candidates, now_ms);
     if (best == NULL) {
-        best = find_soonest(options, count);
+        best = find_fastest(candidates, count);
     }
     if (best == NULL) {
-        best = find_spare(fleet, options, count, now_ms);
+        best = find_spare(fleet, candidates, count, now_ms);
     }
-    verdict.wait_ms = options[0].wait_ms;
+    decision.wait_ms = candidates[0].wait_ms;
     if (best == NULL) {
-        verdict.retry_after_ms = get_retry_after(options, count);
-        return verdict;
+        decision.retry_after_ms = get_retry_after(candidates, count);
+        return decision;
     }
-    verdict.slot = best->slot;
-    verdict.known = best->known;
-    verdict.wait_ms = best->wait_ms;
-    verdict.work_ms = best->work_ms;
-    return verdict;
+    decision.slot = best->slot;
+    decision.known = best->cached;
+    decision.wait_ms = best->wait_ms;
+    decision.work_ms = best->service_ms;
+    return decision;
 }
--- a/packages/core/src/keep.c
+++ b/packages/core/src/keep.c
@@ -4,7 +4,7 @@
 
 #include "sas/traffic.h"
 
-#define SMOOTHING 0.5
+#define SMOOTHING 0.5 /* weight of a new utilization value */
 
 struct sums {
     double zone_slots;
@@ -32,8 +32,8 @@
     return sums;
 }
 
-/* Down to whole steps, so that entry VMs with slightly different views have
- * the same value. */
+/* Rounds down to a whole step, so that entry VMs with slightly different views
+ * get the same value. */
 static double
 quantize(double value)
 {
@@ -48,19 +48,19 @@
         return keep->value;
     }
     struct sums sums = sum_up(fleet, service, zone, now_ms);
-    double fair = sums.all_slots / MAX(SasFleet_CountZones(fleet), 1);
-    double least = fair > 0 ? MIN(sums.zone_slots / fair, 1) : 1;
-    double pressure =
+    double equal_share = sums.all_slots / MAX(SasFleet_CountZones(fleet), 1);
+    double least = equal_share > 0 ? MIN(sums.zone_slots / equal_share, 1) : 1;
+    double utilization =
         sums.zone_slots > 0 ? sums.zone_load / sums.zone_slots : 0;
     if (keep->value <= 0) {
         keep->value = quantize(MIN(SasKeep_START * least, 1));
-        keep->pressure = pressure;
+        keep->utilization = utilization;
     }
-    keep->pressure += SMOOTHING * (pressure - keep->pressure);
-    if (keep->pressure > SasKeep_BUSY) {
+    keep->utilization += SMOOTHING * (utilization - keep->utilization);
+    if (keep->utilization > SasKeep_BUSY) {
         keep->value -= SasKeep_STEP;
     }
-    else if (keep->pressure < SasKeep_IDLE) {
+    else if (keep->utilization < SasKeep_IDLE) {
         keep->value += SasKeep_STEP;
     }
     keep->value = CLAMP(keep->value, MAX(quantize(least), SasKeep_STEP), 1);
--- a/packages/core/src/owner.c
+++ b/packages/core/src/owner.c
@@ -6,14 +6,14 @@
 
 #include "sas/traffic.h"
 
-/* Seeds, so that the choice of the region and of the server within it are
+/* Different seeds make the choices of the region and of the server in it
  * independent. */
 #define REGION_SEED 0x9e3779b97f4a7c15ULL
 #define SERVER_SEED 0xc2b2ae3d27d4eb4fULL
 
 struct candidate {
     int slot;
-    int rank; /* of its place; lower is nearer */
+    int distance; /* see get_distance */
     double score;
 };
 
@@ -30,7 +30,7 @@
     return XXH3_64bits_withSeed(words, sizeof(words), seed);
 }
 
-/* In (0, 1). */
+/* Maps a hash to (0, 1). */
 static double
 to_unit(uint64_t hash)
 {
@@ -49,10 +49,10 @@
     return query->homes == 0 || (query->homes >> region & 1) != 0;
 }
 
-/* Slots of the service's servers that requests may go to, by region. Those
- * that are shunned don't count, or the few that are left would get all of the
- * region's objects and queue them. Which are shunned all entry VMs tell each
- * other. */
+/* Sums the execution slots of the service's servers that requests may go to,
+ * by region. Ejected servers don't count, or the few healthy ones of a region
+ * would get all of its objects and queue them. Entry VMs report ejections to
+ * each other, so their sums agree. */
 static double
 sum_slots(const struct sas_fleet *fleet, const struct sas_owner_query *query,
           int64_t now_ms, double *by_region)
@@ -73,7 +73,7 @@
     return sum;
 }
 
-/* The region among those with slots beyond their own share. */
+/* Picks a region by its execution slots beyond an equal share. */
 static int
 pick_spare_region(const double *slots, int count, double share, double unit)
 {
@@ -116,16 +116,18 @@
     if (unit < keep) {
         return home;
     }
-    /* unit is evenly spread over [keep, 1) here. */
+    /* Here unit is uniform in [keep, 1). */
     int region =
         pick_spare_region(slots, count, share, (unit - keep) / (1 - keep));
     return region == SasModel_NONE ? home : region;
 }
 
-/* 0 for the object's own place, then outwards. */
+/* 0: the preferred zone of the object's region; 1: the object's region;
+ * 2: the caller's region; 3: other regions. */
 static int
-get_rank(const struct sas_fleet *fleet, const struct sas_owner_query *query,
-         int slot, int region, int home)
+get_distance(const struct sas_fleet *fleet,
+             const struct sas_owner_query *query, int slot, int region,
+             int home)
 {
     const struct sas_fleet_server *server = SasFleet_At(fleet, slot);
     int server_region = SasFleet_GetServerRegion(fleet, slot);
@@ -140,8 +142,8 @@
        const struct candidate *candidate)
 {
     int place = *count;
-    while (place > 0 && (best[place - 1].rank > candidate->rank ||
-                         (best[place - 1].rank == candidate->rank &&
+    while (place > 0 && (best[place - 1].distance > candidate->distance ||
+                         (best[place - 1].distance == candidate->distance &&
                           best[place - 1].score < candidate->score))) {
         place--;
     }
@@ -175,7 +177,7 @@
         double unit = to_unit(mix(query->key, server->hash, SERVER_SEED));
         struct candidate candidate = {
             .slot = slot,
-            .rank = get_rank(fleet, query, slot, region, home),
+            .distance = get_distance(fleet, query, slot, region, home),
             .score = -server->facts.slots / log(unit),
         };
         insert(best, &count, max, &candidate);
--- a/packages/core/tests/property_owner.py
+++ b/packages/core/tests/property_owner.py
@@ -1,4 +1,4 @@
-"""Which servers may get an object's requests, for any fleet and any order."""
+"""Requests stay in their allowed regions, for any fleet and query."""
 import ctypes
 import unittest
 
@@ -36,14 +36,14 @@
     @settings(PROFILE, max_examples=1000)
     @given(servers, st.lists(st.booleans(), min_size=len(ZONES),
                              max_size=len(ZONES)), queries)
-    def test_no_order_and_no_lack_of_room_leads_out_of_the_homes(
+    def test_ranked_servers_are_open_and_in_allowed_regions(
             self, servers, evacuated, query):
-        """Guards against requests that run outside their home regions."""
+        """Neither steering nor a lack of servers leads to other regions."""
         fleet = new()
         for name, region in ZONES:
             add_zone(fleet, name, b"r%d" % region)
         service = add_service(fleet, b"desk")
-        open_slots = {}  # their zones
+        open_slots = {}  # slot: zone
         for i, (zone, draining) in enumerate(servers):
             slot = put(fleet, b"s%d" % i, b"desk", ZONES[zone][0], 80 + i, 1,
                        draining)
--- a/packages/core/tests/test_keep.c
+++ b/packages/core/tests/test_keep.c
@@ -6,8 +6,8 @@
 #include "fleet_support.h"
 #include "sas/keep.h"
 
-/* Zone a has one server of the service, the five others have three each: the
- * proportions of Quebec City's photo servers. */
+/* Zone a has one server of the service, the five others have three each, like
+ * Quebec City's photo servers. */
 static struct sas_fleet *
 start(void)
 {
@@ -34,11 +34,11 @@
     return value;
 }
 
-/* Load: photos come evenly from all zones, and one zone's only server is kept
- * busy by a part of its share. It gives away what its slots don't bear, and
- * takes it back when the rush is over. */
+/* A zone's only server can't handle the zone's part of evenly distributed
+ * requests. The zone share falls while the server is busy and rises again when
+ * it is idle. */
 static void
-test_a_short_zone_gives_away_while_it_is_busy(void **state)
+test_zone_share_falls_while_the_zone_is_busy(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = start();
@@ -46,16 +46,16 @@
     double at_start = run(&keep, fleet, 2, 1000, 1);
     assert_true(at_start > 0.6 && at_start < 0.9); /* twice 3 of 8 slots */
     double busy = run(&keep, fleet, 6, 2000, 20);
-    assert_true(busy > 0.3 && busy < 0.4); /* never less than its share */
+    assert_true(busy > 0.3 && busy < 0.4); /* not below its slots */
     double idle = run(&keep, fleet, 0, 30000, 20);
     assert_true(idle == 1);
     SasFleet_Free(fleet);
 }
 
-/* Two entry VMs of the zone see the server a little differently and must not
- * own the photos at two places. */
+/* Entry VMs of a zone that update at slightly different times must have the
+ * same zone share, or an object would have two owners. */
 static void
-test_close_views_give_the_same_part(void **state)
+test_close_views_give_the_same_zone_share(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = start();
@@ -69,11 +69,11 @@
     SasFleet_Free(fleet);
 }
 
-/* Load: certificates of 5.5 kB that take 0.3 s, and orders of 6.2 kB that take
- * 0.6 s. Kept in each zone of a region, every object is new once more; that
- * costs the orders twice as much and spares hardly more bytes. */
+/* Requests of 5.5 kB that take 0.3 s, and others of 6.2 kB that take 0.6 s. An
+ * owner in each zone leaves every object uncached once more, which costs the
+ * long requests twice as much and saves hardly more bytes. */
 static void
-test_long_work_keeps_to_its_zone_for_larger_bodies_only(void **state)
+test_zone_is_preferred_by_bytes_per_service_time(void **state)
 {
     (void)state;
     struct sas_pace quick;
@@ -92,10 +92,9 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(
-            test_long_work_keeps_to_its_zone_for_larger_bodies_only),
-        cmocka_unit_test(test_a_short_zone_gives_away_while_it_is_busy),
-        cmocka_unit_test(test_close_views_give_the_same_part),
+        cmocka_unit_test(test_zone_is_preferred_by_bytes_per_service_time),
+        cmocka_unit_test(test_zone_share_falls_while_the_zone_is_busy),
+        cmocka_unit_test(test_close_views_give_the_same_zone_share),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/core/tests/test_owner.c
+++ b/packages/core/tests/test_owner.c
@@ -31,7 +31,7 @@
                                                           : SasModel_NONE;
 }
 
-/* How many of the objects of a zone's callers a region owns. */
+/* Counts the objects of a zone's callers that are owned in a region. */
 static int
 count_in_region(const struct sas_fleet *fleet, const char *zone,
                 const char *region)
@@ -48,7 +48,7 @@
 }
 
 static void
-test_callers_of_both_zones_of_a_region_meet_one_owner(void **state)
+test_zones_of_a_region_agree_on_the_owner(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = new_fleet();
@@ -60,10 +60,11 @@
     SasFleet_Free(fleet);
 }
 
-/* Half of all look-ups would be slow for seconds after one server left: its
- * objects were dealt anew among all, and each was new to its server. */
+/* If one server's departure redistributed all objects, half of all requests
+ * would be slow for seconds, their objects being uncached at the new owners.
+ */
 static void
-test_only_the_objects_of_a_server_that_left_move(void **state)
+test_only_objects_of_a_removed_server_move(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = new_fleet();
@@ -87,11 +88,11 @@
     SasFleet_Free(fleet);
 }
 
-/* Load: a region with 2 of 24 servers asks for a third of the work, as Quebec
- * City does. It keeps what its servers bear and gives the rest away by whole
- * objects; the other regions keep all of theirs. */
+/* A region with 2 of 24 servers has a third of the callers, as Quebec City
+ * does. It keeps the objects that its servers can handle, the rest is owned
+ * elsewhere, and the other regions keep all of theirs. */
 static void
-test_a_short_region_gives_away_what_it_cannot_bear(void **state)
+test_a_region_short_of_slots_owns_fewer_objects(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = new_fleet();
@@ -103,19 +104,19 @@
     add_servers(fleet, "forms", "f", 5);
     assert_int_equal(count_in_region(fleet, "a", "east"), OBJECTS);
     assert_int_equal(count_in_region(fleet, "e", "west"), OBJECTS);
-    /* A quarter is two servers of the eight of an equal share. */
+    /* A quarter: it has two servers, an equal share is eight. */
     assert_in_range(count_in_region(fleet, "c", "north"), OBJECTS / 5,
                     OBJECTS * 3 / 10);
-    /* The rest by what the others have to spare, four to two servers. */
+    /* The rest by the others' surplus, four servers to two. */
     assert_in_range(count_in_region(fleet, "c", "east"), OBJECTS * 2 / 5,
                     OBJECTS * 3 / 5);
     SasFleet_Free(fleet);
 }
 
-/* Load: seven of a region's ten servers turn slow and are shunned. The three
- * that are left must not get all of its objects. */
+/* Seven of a region's ten servers are ejected. The remaining three must not
+ * get all of its objects. */
 static void
-test_a_region_of_shunned_servers_gives_objects_away(void **state)
+test_a_region_with_ejected_servers_owns_fewer_objects(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = new_fleet();
@@ -130,14 +131,14 @@
         server->traffic.tripped = true;
         server->traffic.shunned_until = 1000;
     }
-    /* 3 of an equal share of 23 / 3 servers. */
+    /* It has 3 servers, an equal share is 23 / 3. */
     assert_in_range(count_in_region(fleet, "a", "east"), OBJECTS / 3,
                     OBJECTS * 9 / 20);
     SasFleet_Free(fleet);
 }
 
 static void
-test_large_bodies_stay_in_their_zone_while_it_has_a_server(void **state)
+test_objects_stay_in_a_preferred_zone_with_a_server(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = new_fleet();
@@ -151,17 +152,17 @@
         int slots[2];
         assert_int_equal(SasOwner_Rank(fleet, &query, 0, slots, 2), 2);
         assert_int_equal(slots[0], SasFleet_FindServer(fleet, "forms-a-0"));
-        /* Then the region before another one. */
+        /* Next come the other zones of the region. */
         assert_int_equal(SasFleet_At(fleet, slots[1])->zone,
                          SasFleet_FindZone(fleet, "b"));
     }
     SasFleet_Free(fleet);
 }
 
-/* A family's papers would leave the region in which the law keeps them: its
- * servers are full or gone, and those of another region have room. */
+/* Data that must stay in a region by law must not leave it when no server is
+ * left there and other regions have free capacity. */
 static void
-test_homes_bind_also_when_the_home_has_no_server(void **state)
+test_allowed_regions_hold_without_a_server_in_them(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = new_fleet();
@@ -199,14 +200,13 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
+        cmocka_unit_test(test_zones_of_a_region_agree_on_the_owner),
+        cmocka_unit_test(test_only_objects_of_a_removed_server_move),
+        cmocka_unit_test(test_a_region_short_of_slots_owns_fewer_objects),
         cmocka_unit_test(
-            test_callers_of_both_zones_of_a_region_meet_one_owner),
-        cmocka_unit_test(test_only_the_objects_of_a_server_that_left_move),
-        cmocka_unit_test(test_a_short_region_gives_away_what_it_cannot_bear),
-        cmocka_unit_test(test_a_region_of_shunned_servers_gives_objects_away),
-        cmocka_unit_test(
-            test_large_bodies_stay_in_their_zone_while_it_has_a_server),
-        cmocka_unit_test(test_homes_bind_also_when_the_home_has_no_server),
+            test_a_region_with_ejected_servers_owns_fewer_objects),
+        cmocka_unit_test(test_objects_stay_in_a_preferred_zone_with_a_server),
+        cmocka_unit_test(test_allowed_regions_hold_without_a_server_in_them),
         cmocka_unit_test(test_draining_and_evacuated_servers_own_nothing),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
