--- a/packages/core/include/sas/allowance.h
+++ b/packages/core/include/sas/allowance.h
@@ -1,10 +1,10 @@
-/* allowance - limits that all entry VMs keep together, each by its share.
+/* allowance - limits that all entry VMs share, without messages between them.
  *
- * Two limits bind all of them: how many repeats a service gets for the
- * requests it got, and how many requests a second a cold backend server
- * bears. Each entry VM holds its own share of the fixed part and its own
- * requests' part of the rest, so the sum stays under the limit without a
- * message between them, whichever of them callers use.
+ * The retry budget of a service is a part of its recent requests plus a burst.
+ * Each entry VM counts its own requests and divides the burst by the number of
+ * entry VMs, so the sum stays within the budget however callers spread over
+ * them. The request rate that a cold backend server can handle is divided into
+ * a whole number of requests per second for each entry VM.
  *
  * Times are monotonic milliseconds.
  */
@@ -16,8 +16,8 @@
 
 #include "sas/window.h"
 
-/* Part of a limit that is given out; the rest covers events that fall into
- * one window here and into another at the server. */
+/* Part of a limit that is used. The rest covers events that the server counts
+ * in another window than the entry VM. */
 #define SasAllowance_MARGIN 0.85
 
 struct sas_repeat_allowance {
@@ -27,19 +27,21 @@
     double burst;
 };
 
-/* Of one service. burst is the whole system's; vms how many share it. */
+/* Retry budget of one service: the part share of its requests within
+ * window_ms, and the burst that all entry VMs together may add. */
 void SasRepeat_Init(struct sas_repeat_allowance *allowance, double share,
                     double burst, int64_t window_ms);
 void SasRepeat_NoteRequest(struct sas_repeat_allowance *allowance,
                            int64_t now_ms);
 
-/* True, and counted, when a request may be sent to a second server. */
+/* Acquires one retry. False if the budget is exhausted. vms: entry VMs that
+ * share the burst. */
 bool SasRepeat_Take(struct sas_repeat_allowance *allowance, int vms,
                     int64_t now_ms);
 
-/* How many requests one entry VM may send to a cold server in a second when
- * vms of them do; rank, from 0, is its place among them for this server. The
- * first get one more where the whole can't be divided. */
+/* Requests per second that one of vms entry VMs may send to a cold server. The
+ * limit of all is cold_per_s * factor + slack. rank, from 0, is the entry VM's
+ * rank for this server; the first ranks get the remainder of the division. */
 int SasCold_GetShare(double cold_per_s, double factor, double slack, int vms,
                      int rank);
 
--- a/packages/core/include/sas/split.h
+++ b/packages/core/include/sas/split.h
@@ -1,10 +1,10 @@
-/* split - which service of a route's split gets a request.
+/* split - picks the service of a weighted traffic split for a request.
  *
- * The object's hash chooses, so that an object stays with a service and is
- * known there. Hashing a few dozen objects misses the weights, though, and
- * callers ask for some objects more often than for others; so a part that has
- * fallen behind its weight gets the request instead. Shares are right at any
- * moment to within SasSplit_SLACK of the latest few hundred requests.
+ * The object's hash picks, so that an object stays with one service and is
+ * cached there. But hashes of a few dozen objects don't match the weights, and
+ * some objects are requested more often than others; so a part whose deficit
+ * is too large gets the request instead. At any time the shares are within
+ * SasSplit_MAX_DEFICIT of the weights over the last few hundred requests.
  */
 #ifndef SAS_SPLIT_H
 #define SAS_SPLIT_H
@@ -13,20 +13,20 @@
 
 #define SasSplit_MAX_PARTS 16
 
-/* How far a part may fall behind, as a share of what is remembered; the
- * platform's operators count a tenth as a miss. */
-#define SasSplit_SLACK 0.03
+/* Largest deficit of a part, as a share of the counted requests. The
+ * platform's operators count a share that is off by a tenth as a miss. */
+#define SasSplit_MAX_DEFICIT 0.03
 
-/* What is remembered fades by this much with each request: the latest 200
- * count for most of it. */
-#define SasSplit_FADE 0.995
+/* Factor by which older requests decay with each new one: the last 200 make up
+ * most of the count. */
+#define SasSplit_DECAY 0.995
 
 struct sas_split {
-    double sent[SasSplit_MAX_PARTS];
+    double sent[SasSplit_MAX_PARTS]; /* decaying counts of requests */
 };
 
-/* The part of the route, by its index, that gets a request about the object;
- * counted. */
+/* Returns the index of the route's part that gets a request for the object
+ * with this key, and counts the request. */
 int SasSplit_Pick(struct sas_split *split, const struct sas_route *route,
                   uint64_t key);
 
--- a/packages/core/src/allowance.c
+++ b/packages/core/src/allowance.c
@@ -39,7 +39,7 @@
                  int rank)
 {
     double limit = cold_per_s * factor + slack;
-    int whole = (int)floor(SasAllowance_MARGIN * limit);
+    int total = (int)floor(SasAllowance_MARGIN * limit);
     vms = MAX(vms, 1);
-    return whole / vms + (rank < whole % vms ? 1 : 0);
+    return total / vms + (rank < total % vms ? 1 : 0);
 }
--- a/packages/core/src/retry.c
+++ b/packages/core/src/retry.c
@@ -2,9 +2,9 @@
 
 #include <string.h>
 
-#define ONE 1000 /* a try in thousandths */
+#define ONE 1000 /* one attempt, in thousandths */
 
-static const char *const VERDICTS[SAS_RETRY_VERDICTS] = {
+static const char *const DECISIONS[SAS_RETRY_VERDICTS] = {
     "yes", "no-repeat", "no-deadline", "no-tries", "no-backend", "no-budget",
 };
 
@@ -15,12 +15,12 @@
     "stall",
 };
 
-static void fade(struct sas_retry *r, int64_t now_ms);
-static enum sas_retry_verdict judge(const struct sas_retry *r, bool idempotent,
-                                    enum sas_retry_outcome outcome,
-                                    int64_t deadline_left_ms, const int *tried,
-                                    int tried_count, const int *candidates,
-                                    int candidate_count);
+static void decay(struct sas_retry *r, int64_t now_ms);
+static enum sas_retry_verdict
+decide(const struct sas_retry *r, bool idempotent,
+       enum sas_retry_outcome outcome, int64_t deadline_left_ms,
+       const int *tried, int tried_count, const int *candidates,
+       int candidate_count);
 static bool has_untried(const int *tried, int tried_count,
                         const int *candidates, int candidate_count);
 
@@ -28,14 +28,14 @@
 SasRetry_Init(struct sas_retry *r, int64_t now_ms)
 {
     memset(r, 0, sizeof(*r));
-    r->faded_ms = now_ms;
+    r->decayed_ms = now_ms;
     r->share_percent = SasRetry_SHARE_PERCENT;
 }
 
 void
 SasRetry_NoteFirst(struct sas_retry *r, int64_t now_ms)
 {
-    fade(r, now_ms);
+    decay(r, now_ms);
     r->first_tries += ONE;
 }
 
@@ -45,16 +45,16 @@
                   int64_t deadline_left_ms, const int *tried, int tried_count,
                   const int *candidates, int candidate_count, int64_t now_ms)
 {
-    fade(r, now_ms);
-    enum sas_retry_verdict verdict =
-        judge(r, idempotent, outcome, deadline_left_ms, tried, tried_count,
-              candidates, candidate_count);
-    r->verdicts[verdict]++;
-    if (verdict == SAS_RETRY_YES) {
+    decay(r, now_ms);
+    enum sas_retry_verdict decision =
+        decide(r, idempotent, outcome, deadline_left_ms, tried, tried_count,
+               candidates, candidate_count);
+    r->verdicts[decision]++;
+    if (decision == SAS_RETRY_YES) {
         r->retries += ONE;
         r->reasons[reason]++;
     }
-    return verdict;
+    return decision;
 }
 
 bool
@@ -76,9 +76,9 @@
 }
 
 const char *
-SasRetry_GetVerdictName(enum sas_retry_verdict verdict)
+SasRetry_GetVerdictName(enum sas_retry_verdict decision)
 {
-    return VERDICTS[verdict];
+    return DECISIONS[decision];
 }
 
 const char *
@@ -89,26 +89,27 @@
 
 /* Static helpers. */
 
-/* The past counts half after each half window. */
+/* Halves the counts for each half window that has passed. */
 static void
-fade(struct sas_retry *r, int64_t now_ms)
+decay(struct sas_retry *r, int64_t now_ms)
 {
-    int64_t half = SasRetry_WINDOW_MS / 2;
-    while (now_ms - r->faded_ms >= half && r->first_tries + r->retries > 0) {
+    int64_t half_life = SasRetry_WINDOW_MS / 2;
+    while (now_ms - r->decayed_ms >= half_life &&
+           r->first_tries + r->retries > 0) {
         r->first_tries /= 2;
         r->retries /= 2;
-        r->faded_ms += half;
+        r->decayed_ms += half_life;
     }
-    if (now_ms - r->faded_ms >= half) {
-        r->faded_ms = now_ms;
+    if (now_ms - r->decayed_ms >= half_life) {
+        r->decayed_ms = now_ms;
     }
 }
 
 static enum sas_retry_verdict
-judge(const struct sas_retry *r, bool idempotent,
-      enum sas_retry_outcome outcome, int64_t deadline_left_ms,
-      const int *tried, int tried_count, const int *candidates,
-      int candidate_count)
+decide(const struct sas_retry *r, bool idempotent,
+       enum sas_retry_outcome outcome, int64_t deadline_left_ms,
+       const int *tried, int tried_count, const int *candidates,
+       int candidate_count)
 {
     if (outcome != SAS_RETRY_NOT_RUN && !idempotent) {
         return SAS_RETRY_NO_REPEAT;
--- a/packages/core/src/split.c
+++ b/packages/core/src/split.c
@@ -1,7 +1,8 @@
 #include "sas/split.h"
 
-/* Requests that a part may be behind at least: chance alone does that. */
-#define MIN_BEHIND 2.0
+/* A deficit up to this many requests is always allowed, as chance causes it.
+ */
+#define MIN_DEFICIT 2.0
 
 static double
 get_weight(const struct sas_route *route, int part)
@@ -9,7 +10,7 @@
     return g_array_index(route->parts, struct sas_route_part, part).weight;
 }
 
-/* The part that the object's hash falls into. */
+/* Picks a part by the object's hash, in proportion to the weights. */
 static int
 pick_by_hash(const struct sas_route *route, int count, uint64_t key)
 {
@@ -23,25 +24,25 @@
     return count - 1;
 }
 
-/* The part that is furthest behind by more than may be; else the given one. */
+/* The part with the largest deficit beyond the allowed one, or hashed. */
 static int
-find_behind(const struct sas_split *split, const struct sas_route *route,
-            int count, int given)
+correct_deficit(const struct sas_split *split, const struct sas_route *route,
+                int count, int hashed)
 {
     double sum = 0;
     for (int part = 0; part < count; part++) {
         sum += split->sent[part];
     }
-    int furthest = given;
-    double most = SasSplit_SLACK * sum + MIN_BEHIND;
+    int picked = hashed;
+    double largest = SasSplit_MAX_DEFICIT * sum + MIN_DEFICIT;
     for (int part = 0; part < count; part++) {
-        double behind = get_weight(route, part) * sum - split->sent[part];
-        if (behind > most) {
-            most = behind;
-            furthest = part;
+        double deficit = get_weight(route, part) * sum - split->sent[part];
+        if (deficit > largest) {
+            largest = deficit;
+            picked = part;
         }
     }
-    return furthest;
+    return picked;
 }
 
 int
@@ -53,9 +54,9 @@
         return 0;
     }
     int part =
-        find_behind(split, route, count, pick_by_hash(route, count, key));
+        correct_deficit(split, route, count, pick_by_hash(route, count, key));
     for (int i = 0; i < count; i++) {
-        split->sent[i] *= SasSplit_FADE;
+        split->sent[i] *= SasSplit_DECAY;
     }
     split->sent[part] += 1;
     return part;
--- a/packages/core/tests/property_retry.py
+++ b/packages/core/tests/property_retry.py
@@ -1,4 +1,4 @@
-"""A retry is granted only when it can do no harm, and within the budget."""
+"""Retries are granted only where a second run is safe, and within the budget."""
 import ctypes
 import unittest
 
@@ -13,7 +13,7 @@
                     PTR, INT, PTR, INT, I64)
 YES, NO_REPEAT, NO_DEADLINE, NO_TRIES, NO_BACKEND, NO_BUDGET = range(6)
 NOT_RUN = 0
-SHARE, LEAST, WINDOW = 0.1, 3, 10000
+SHARE, MINIMUM, WINDOW = 0.1, 3, 10000
 
 servers = st.lists(st.integers(0, 5), max_size=4)
 steps = st.lists(st.one_of(
@@ -30,9 +30,9 @@
 class TestRetry(unittest.TestCase):
     @settings(PROFILE, max_examples=1000)
     @given(steps)
-    def test_only_harmless_and_few(self, steps):
-        room = ctypes.create_string_buffer(512)
-        r = ctypes.addressof(room)
+    def test_retries_are_safe_and_within_budget(self, steps):
+        memory = ctypes.create_string_buffer(512)
+        r = ctypes.addressof(memory)
         init(r, 0)
         now, firsts, retries = 0, [], []
         for kind, pause, *rest in steps:
@@ -43,20 +43,20 @@
                     firsts.append(now)
                 continue
             idempotent, outcome, left, tried, candidates = rest
-            verdict = may_retry(r, 1, idempotent, outcome, left,
+            decision = may_retry(r, 1, idempotent, outcome, left,
                                 numbers(tried), len(tried),
                                 numbers(candidates), len(candidates), now)
-            if verdict != YES:
+            if decision != YES:
                 continue
             retries.append(now)
             assert outcome == NOT_RUN or idempotent
             assert left >= 10 and len(tried) < 3
             assert set(candidates) - set(tried)
-            # Within any half window at most a share of what came in the
-            # time that is remembered, and the least that is always granted.
+            # In half a window at most twice the share of the first attempts
+            # that still count, and at least the minimum that is granted.
             recent = [t for t in retries if now - t < WINDOW // 2]
-            remembered = [t for t in firsts if now - t < 10 * WINDOW]
-            assert len(recent) <= 2 * max(SHARE * len(remembered), LEAST)
+            counted = [t for t in firsts if now - t < 10 * WINDOW]
+            assert len(recent) <= 2 * max(SHARE * len(counted), MINIMUM)
 
 
 if __name__ == "__main__":
--- a/packages/core/tests/test_allowance.c
+++ b/packages/core/tests/test_allowance.c
@@ -8,7 +8,7 @@
 #define VMS 9
 
 static void
-test_a_window_never_counts_less_than_its_span(void **state)
+test_window_counts_at_least_its_span(void **state)
 {
     (void)state;
     struct sas_window window;
@@ -23,11 +23,11 @@
     assert_true(SasWindow_Count(&window, 9000) == 0);
 }
 
-/* Load: all servers turn requests away at once, on the heaviest second of the
- * day, and every entry VM sends each of them once more. Whichever VMs the
- * callers use, the sum must stay under the share and the burst of all. */
+/* All servers refuse requests at peak load and every entry VM retries each
+ * request. However callers spread over the entry VMs, the sum of the retries
+ * must stay within the shared budget. */
 static void
-test_repeats_of_all_entry_vms_stay_under_the_common_limit(void **state)
+test_retries_of_all_entry_vms_stay_within_the_budget(void **state)
 {
     (void)state;
     struct sas_repeat_allowance allowances[VMS];
@@ -46,10 +46,10 @@
     assert_true(repeats >= 0.7 * 0.2 * requests);
 }
 
-/* Load: a zone's servers come back cold together. Each bears 9 requests a
- * second and breaks down above 18; all entry VMs of the region send. */
+/* A zone's servers restart cold together. Each can handle 9 requests a second
+ * and fails above 18; all entry VMs of the region send to it. */
 static void
-test_cold_shares_add_up_to_less_than_a_server_bears(void **state)
+test_cold_limit_shares_add_up_to_the_limit(void **state)
 {
     (void)state;
     for (int vms = 1; vms <= 30; vms++) {
@@ -58,7 +58,7 @@
             sum += SasCold_GetShare(9, 1.5, 5, vms, rank);
         }
         assert_true(sum <= 18);
-        assert_true(sum >= 15); /* it is not left unused */
+        assert_true(sum >= 15); /* most of the limit is used */
     }
     assert_int_equal(SasCold_GetShare(9, 1.5, 5, 3, 0), 5);
     assert_int_equal(SasCold_GetShare(9, 1.5, 5, 30, 0), 1);
@@ -69,10 +69,9 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_a_window_never_counts_less_than_its_span),
-        cmocka_unit_test(
-            test_repeats_of_all_entry_vms_stay_under_the_common_limit),
-        cmocka_unit_test(test_cold_shares_add_up_to_less_than_a_server_bears),
+        cmocka_unit_test(test_window_counts_at_least_its_span),
+        cmocka_unit_test(test_retries_of_all_entry_vms_stay_within_the_budget),
+        cmocka_unit_test(test_cold_limit_shares_add_up_to_the_limit),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/core/tests/test_retry.c
+++ b/packages/core/tests/test_retry.c
@@ -8,34 +8,35 @@
 static const int servers[] = {4, 5, 6, 7};
 
 static enum sas_retry_verdict
-ask(struct sas_retry *r, bool idempotent, enum sas_retry_outcome outcome,
-    int64_t left_ms, int tried)
+decide(struct sas_retry *r, bool idempotent, enum sas_retry_outcome outcome,
+       int64_t left_ms, int tried)
 {
     return SasRetry_MayRetry(r, SAS_RETRY_SHED, idempotent, outcome, left_ms,
                              servers, tried, servers, 4, 0);
 }
 
 static void
-test_each_refusal_has_its_reason(void **state)
+test_each_denial_has_its_reason(void **state)
 {
     (void)state;
     struct sas_retry r;
     SasRetry_Init(&r, 0);
-    assert_int_equal(ask(&r, false, SAS_RETRY_UNKNOWN, 1000, 1),
+    assert_int_equal(decide(&r, false, SAS_RETRY_UNKNOWN, 1000, 1),
                      SAS_RETRY_NO_REPEAT);
-    assert_int_equal(ask(&r, true, SAS_RETRY_UNKNOWN, 0, 1),
+    assert_int_equal(decide(&r, true, SAS_RETRY_UNKNOWN, 0, 1),
                      SAS_RETRY_NO_DEADLINE);
-    assert_int_equal(ask(&r, true, SAS_RETRY_UNKNOWN, 1000, 3),
+    assert_int_equal(decide(&r, true, SAS_RETRY_UNKNOWN, 1000, 3),
                      SAS_RETRY_NO_TRIES);
     assert_int_equal(SasRetry_MayRetry(&r, SAS_RETRY_CUT, true,
                                        SAS_RETRY_NOT_RUN, 1000, servers, 2,
                                        servers, 2, 0),
                      SAS_RETRY_NO_BACKEND);
-    assert_int_equal(ask(&r, false, SAS_RETRY_NOT_RUN, 1000, 1),
+    assert_int_equal(decide(&r, false, SAS_RETRY_NOT_RUN, 1000, 1),
                      SAS_RETRY_YES);
-    assert_int_equal(ask(&r, true, SAS_RETRY_UNKNOWN, 1000, 2), SAS_RETRY_YES);
-    assert_int_equal(ask(&r, true, SAS_RETRY_RAN, 1000, 1), SAS_RETRY_YES);
-    assert_int_equal(ask(&r, true, SAS_RETRY_NOT_RUN, 1000, 1),
+    assert_int_equal(decide(&r, true, SAS_RETRY_UNKNOWN, 1000, 2),
+                     SAS_RETRY_YES);
+    assert_int_equal(decide(&r, true, SAS_RETRY_RAN, 1000, 1), SAS_RETRY_YES);
+    assert_int_equal(decide(&r, true, SAS_RETRY_NOT_RUN, 1000, 1),
                      SAS_RETRY_NO_BUDGET);
     assert_int_equal(r.verdicts[SAS_RETRY_YES], 3);
     assert_int_equal(r.reasons[SAS_RETRY_SHED], 3);
@@ -44,11 +45,11 @@
     assert_string_equal(SasRetry_GetReasonName(SAS_RETRY_STALL), "stall");
 }
 
-/* All backend servers shed load at once and every request fails. With
- * retries for each, they would get three times the load that they cannot
- * carry; the budget holds it to a tenth more. */
+/* All backend servers shed load and every request fails. If each were retried,
+ * overloaded servers would get three times the load; the retry budget limits
+ * it to a tenth more. */
 static void
-test_shedding_opens_no_flood(void **state)
+test_shedding_causes_no_retry_storm(void **state)
 {
     (void)state;
     struct sas_retry r;
@@ -60,7 +61,7 @@
                                      SAS_RETRY_NOT_RUN, 1000, servers, 1,
                                      servers, 4, now) == SAS_RETRY_YES;
     }
-    print_message("%d retries for 6000 first tries\n", granted);
+    print_message("%d retries for 6000 first attempts\n", granted);
     assert_true(granted >= 500);
     assert_true(granted <= 600 + SasRetry_MIN_RETRIES);
 }
@@ -69,8 +70,8 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_each_refusal_has_its_reason),
-        cmocka_unit_test(test_shedding_opens_no_flood),
+        cmocka_unit_test(test_each_denial_has_its_reason),
+        cmocka_unit_test(test_shedding_causes_no_retry_storm),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/core/tests/test_split.c
+++ b/packages/core/tests/test_split.c
@@ -28,7 +28,7 @@
     return SasOwner_HashKey(name);
 }
 
-/* Share of the requests that part 0 got, over so many objects. */
+/* Share of the requests that part 0 gets, with this number of objects. */
 static double
 measure(const double *weights, int count, int objects)
 {
@@ -44,24 +44,23 @@
     return (double)sent / REQUESTS;
 }
 
-/* An operator would see three quarters of the callers at a service that was
- * to have half of them: a handful of objects makes most of the requests, and
- * their hashes fall to one side. */
+/* A handful of objects makes most of the requests, and their hashes can fall
+ * to one side: a service with half of the weight would get three quarters. */
 static void
-test_few_objects_still_get_the_weights(void **state)
+test_few_objects_are_split_by_the_weights(void **state)
 {
     (void)state;
     for (int objects = 1; objects < 30; objects++) {
         double even = measure((const double[]){0.5, 0.5}, 2, objects);
         assert_true(even > 0.44 && even < 0.56);
         double tenth = measure((const double[]){0.1, 0.6, 0.3}, 3, objects);
-        /* A tenth off is what the platform's operators count as a miss. */
+        /* The platform's operators count a tenth off as a miss. */
         assert_true(tenth > 0.0 && tenth < 0.2);
     }
 }
 
 static void
-test_objects_stay_while_the_shares_are_right(void **state)
+test_objects_stay_while_shares_match(void **state)
 {
     (void)state;
     const double weights[] = {0.5, 0.5};
@@ -83,7 +82,7 @@
 }
 
 static void
-test_one_part_gets_all(void **state)
+test_a_single_part_gets_all(void **state)
 {
     (void)state;
     assert_true(measure((const double[]){1}, 1, 5) == 1);
@@ -93,9 +92,9 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_few_objects_still_get_the_weights),
-        cmocka_unit_test(test_objects_stay_while_the_shares_are_right),
-        cmocka_unit_test(test_one_part_gets_all),
+        cmocka_unit_test(test_few_objects_are_split_by_the_weights),
+        cmocka_unit_test(test_objects_stay_while_shares_match),
+        cmocka_unit_test(test_a_single_part_gets_all),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
