--- a/packages/core/include/sas/budget.h
+++ b/packages/core/include/sas/budget.h
@@ -1,19 +1,20 @@
-/* budget - one limit, split over the entry VM seats without agreement.
+/* budget - a limit, split over the entry VMs without agreement.
  *
- * A budget is a limit (a region's slots, a shift's cap, a link's Mbit/s, a
- * backend server's connections) split into a floor for each seat. A seat
- * lends what it does not need to a peer for a time. At every instant the sum
- * of what all seats may use stays within the limit, whatever is lost,
- * doubled, late, paused, dead, restarted or cut off. docs/notes-budget.md
- * holds the argument and what is not provable.
+ * A budget is a limit (a region's execution slots, a shift's cap, a link's
+ * Mbit/s, a backend server's connections) that is split into a floor for each
+ * member, an entry VM. A member lends units that it does not need to a peer
+ * for a limited time. At every instant the sum of what all members may use
+ * stays within the limit, also when messages are lost, duplicated or delayed
+ * and when members are paused, crash, restart or are partitioned.
+ * docs/notes-budget.md holds the argument and what is not provable.
  *
  * Units are integers: slots or connections for SAS_BUDGET_CONCURRENT;
- * milli-units a second (milli-requests, milli-Mbit) for SAS_BUDGET_RATE.
+ * milli-units per second (milli-requests, milli-Mbit) for SAS_BUDGET_RATE.
  * Times are monotonic milliseconds of the calling process; clocks run within
- * 1% of true time. Nothing allocates; the struct belongs to the caller. A
- * budget that has lent is kept until SasBudget_IsSettled.
+ * 1% of true time. Nothing allocates; the struct belongs to the caller, who
+ * keeps a budget that has lent until SasBudget_IsSettled.
  *
- * Messages between seats, each sent after the call that precedes it:
+ * Messages between members, each sent after the call that precedes it:
  *
  *   borrower                          lender
  *   id = Ask()        --ask id-->     granted = Lend(id)
@@ -34,17 +35,17 @@
 #include <glib.h>
 
 #define SasBudget_MAX_SEATS 32
-#define SasBudget_MAX_LOANS 64       /* each way, for one budget */
-#define SasBudget_MAX_PENDING 3      /* unanswered asks at one time */
-#define SasBudget_ANSWER_MS 1000     /* an answer is hardly to come after */
-#define SasBudget_LIFE_MS 15000      /* a loan's life where none is chosen */
+#define SasBudget_MAX_LOANS 64       /* lent, and as many borrowed */
+#define SasBudget_MAX_PENDING 3      /* loan requests in flight */
+#define SasBudget_ANSWER_MS 1000     /* then a request is taken for lost */
+#define SasBudget_LIFE_MS 15000      /* default duration of a loan */
 #define SasBudget_MARGIN_MS 1000     /* a lender holds a loan longer by this */
-#define SasBudget_CLOCK_PERCENT 2    /* and by this share of its life */
+#define SasBudget_CLOCK_PERCENT 2    /* and by this part of its duration */
 #define SasBudget_RESERVE_PERCENT 10 /* of a floor: never lent */
-#define SasBudget_RECENT_MS 2000     /* recent use fades with this */
-#define SasBudget_BURST_MS 100       /* a rate bucket holds this much */
-#define SasBudget_RATE_PERCENT 99    /* of the allowance; for fast clocks */
-#define SasBudget_HINT_MS 10000      /* a peer's hint is worth nothing after */
+#define SasBudget_RECENT_MS 2000     /* time constant of the decaying means */
+#define SasBudget_BURST_MS 100       /* size of a rate's token bucket */
+#define SasBudget_RATE_PERCENT 99    /* of a rate is refilled: fast clocks */
+#define SasBudget_HINT_MS 10000      /* then a peer's hint expires */
 #define SasBudget_MIN_BACKOFF_MS 100
 #define SasBudget_MAX_BACKOFF_MS 5000
 
@@ -54,41 +55,41 @@
 };
 
 struct sas_loan {
-    uint64_t id;      /* 0: the slot is free */
-    int seat;         /* the other seat */
-    int64_t granted;  /* never rises */
-    int64_t used;     /* units running on it (borrower) */
+    uint64_t id;      /* 0: a free entry */
+    int seat;         /* the peer */
+    int64_t granted;  /* units; never rises */
+    int64_t used;     /* units in use (borrower) */
     int64_t until_ms; /* usable (borrower) or held (lender) until then */
-    int64_t asked_ms; /* the question, then the newest renewal */
+    int64_t asked_ms; /* when it was requested or renewed last */
     uint32_t renewal; /* sequence number of the newest renewal */
-    bool pending;     /* asked for, no answer yet (borrower) */
-    bool closing;     /* not to be renewed */
+    bool pending;     /* requested, no answer yet (borrower) */
+    bool closing;     /* not renewed, no new use */
 };
 
 struct sas_budget_peer {
-    int64_t peak;    /* the most its floor may still be */
-    int64_t epoch;   /* the last one that it announced, -1: none */
-    int64_t unused;  /* hint: what it might lend */
+    int64_t peak;    /* upper bound of the floor that it may still use */
+    int64_t epoch;   /* the newest that it announced, -1: none */
+    int64_t unused;  /* hint: units that it might lend */
     int64_t hint_ms; /* when the hint came, INT64_MIN: never */
-    int64_t ask_ms;  /* no question before then */
+    int64_t ask_ms;  /* no loan request before then */
     int64_t backoff_ms;
-    bool disowned; /* holds no loan of our earlier incarnation */
+    bool disowned; /* holds no loan of our earlier incarnations */
 };
 
 struct sas_budget_settings {
     enum sas_budget_kind kind;
     int seats;
     int own_seat;
-    uint32_t incarnation; /* differs from earlier starts of this seat */
-    int64_t life_ms;      /* the same on all seats, never changed */
+    uint32_t incarnation; /* differs from earlier starts of this member */
+    int64_t life_ms;      /* of loans; fixed, the same on all members */
     int64_t quantum;      /* rates: the largest single amount */
 };
 
 struct sas_budget {
     struct sas_budget_settings settings;
     int64_t epoch;
-    int64_t announced; /* the newest epoch that our use came down to */
-    int64_t entitled;  /* our floor, as far as others surely made room */
+    int64_t announced; /* newest epoch whose floor our use is within */
+    int64_t entitled;  /* own floor, as far as peers announced room */
     int64_t floors[SasBudget_MAX_SEATS];
     struct sas_budget_peer peers[SasBudget_MAX_SEATS];
     struct sas_loan lent[SasBudget_MAX_LOANS];
@@ -97,126 +98,139 @@
     bool recovering;
     int64_t recover_until_ms;
     int64_t own_used;
-    int64_t use;     /* recent means, in millionths: units in use, */
-    int64_t taken;   /* units taken a second, */
-    int64_t refused; /* and refused a second */
-    int64_t faded_ms;
-    bool short_of;     /* refused since the last loan came */
-    int64_t tokens;    /* rates: thousandths of a milli-unit */
-    int64_t filled_ms; /* rates: when the bucket was filled last */
+    /* Decaying means, in millionths: units in use, and units acquired and
+     * refused per second. */
+    int64_t mean_used;
+    int64_t mean_acquired;
+    int64_t mean_refused;
+    int64_t decayed_ms; /* up to then the means have decayed */
+    bool short_of;      /* units were refused since the last loan came */
+    int64_t tokens;     /* rates: thousandths of a milli-unit */
+    int64_t filled_ms;  /* rates: last refill of the token bucket */
 };
 
 /* Splitting a limit. */
 
-/* Floors by weight. Their sum is the limit (0 when all weights are 0);
- * units left over go to the largest remainders, then the lowest seats, so
- * that all nodes compute the same. Spare seats take part by their weight. */
-void SasBudget_Split(int64_t limit, const int64_t *weights, int seats,
+/* Splits limit into floors by weight. Their sum is the limit, or 0 if all
+ * weights are 0. The remaining units go to the largest remainders, then to the
+ * lowest members, so that all entry VMs compute the same. A member without a
+ * running VM takes part by its weight. */
+void SasBudget_Split(int64_t limit, const int64_t *weights, int member_count,
                      int64_t *floors);
 
-/* Starting and changing. */
+/* Start and changes of the floors. */
 
-/* Starts without loans. Until every loan of an earlier incarnation is over,
- * only the reserve of the floor is usable. Epochs count the changes of this
- * budget's floors. A starting node begins with the oldest epoch that a seat
- * may still be in, then calls SasBudget_SetFloors for each later one; the
- * last is not below any that this seat announced before. */
+/* Starts without loans. While loans of an earlier incarnation may exist (the
+ * recovery), only the reserve of the floor is usable. Epochs number the
+ * changes of this budget's floors. A starting process begins with the oldest
+ * epoch that a member may still be in, then calls SasBudget_SetFloors for each
+ * later one; the last is not below any that this member has announced. */
 void SasBudget_Init(struct sas_budget *b,
                     const struct sas_budget_settings *settings,
                     const int64_t *floors, int64_t epoch, int64_t now_ms);
 
-/* A new version's floors. Falls at once, rises when those that fall have
- * announced it. Older and equal epochs are ignored. */
+/* Sets the floors of a new epoch. A lower own floor applies at once, a higher
+ * one when the members whose floors fall have announced the epoch. Older and
+ * equal epochs are ignored. */
 void SasBudget_SetFloors(struct sas_budget *b, const int64_t *floors,
                          int64_t epoch, int64_t now_ms);
 
-/* The epoch to tell to the peers with the hints, -1 while recovering. */
+/* The epoch to announce to the peers with the hints: the newest one whose
+ * floor our use is within. -1: none, as during the recovery. */
 int64_t SasBudget_GetAnnounced(struct sas_budget *b, int64_t now_ms);
 
-/* True when nothing is lent, borrowed or in use. */
+/* True when nothing is lent, borrowed or in use, and no recovery is under way.
+ */
 bool SasBudget_IsSettled(struct sas_budget *b, int64_t now_ms);
 
-/* Using. */
+/* Use. */
 
-/* What this seat may use now: entitled - lent + borrowed. */
+/* Units that this member may use now: its own without those lent, plus those
+ * borrowed. */
 int64_t SasBudget_GetAllowance(struct sas_budget *b, int64_t now_ms);
 
-/* Units running now. */
+/* Units in use now. */
 int64_t SasBudget_GetUsed(const struct sas_budget *b);
 
-/* Takes units for a request that is ended within lasts_ms, whatever comes.
- * Returns the pot to give them back to, or -1. A loan is used only by
- * requests that end before it does, so that nothing runs on when the lender
- * has its units back; a request too long for every loan needs own units. */
+/* Acquires units for a request that ends within lasts_ms at the latest.
+ * Returns the source to release them to, or -1. Only requests that end before
+ * a loan does use it, so that none is running when the lender uses the units
+ * again; a request too long for every loan needs own units. */
 int SasBudget_Take(struct sas_budget *b, int64_t units, int64_t lasts_ms,
                    int64_t now_ms);
-void SasBudget_Give(struct sas_budget *b, int pot, int64_t units,
+void SasBudget_Give(struct sas_budget *b, int source, int64_t units,
                     int64_t now_ms);
 
-/* Lets an amount pass now, or not. Over any window the seats together let
- * pass at most limit * window + sum of their SasBudget_GetBurst. */
+/* Acquires an amount of a rate. Over any window the members together acquire
+ * at most limit * window + sum of their SasBudget_GetBurst. */
 bool SasBudget_TakeRate(struct sas_budget *b, int64_t amount, int64_t now_ms);
 int64_t SasBudget_GetBurst(struct sas_budget *b, int64_t now_ms);
 
 /* Borrowing. */
 
-/* How many units to ask for, 0: none. */
+/* Units to request from a peer, 0: none. */
 int64_t SasBudget_GetWanted(struct sas_budget *b, int64_t now_ms);
 
-/* A peer that is likely to lend, or -1. */
+/* A peer that is likely to lend, drawn by its hint, or -1. */
 int SasBudget_ChooseLender(struct sas_budget *b, int64_t now_ms, GRand *rand);
 
-/* Before the question is sent: its loan id, or 0 (too many open). */
+/* Prepares a loan request, before it is sent. Returns its loan id, or 0 (too
+ * many in flight). */
 uint64_t SasBudget_Ask(struct sas_budget *b, int lender, int64_t now_ms);
 
-/* The answer. False: too late, doubled or unknown; nothing was gained. */
+/* Applies the answer. False: late, duplicate, unknown or nothing granted. */
 bool SasBudget_Borrowed(struct sas_budget *b, int lender, uint64_t id,
                         int64_t granted, int64_t now_ms);
 
-/* A loan that should be renewed, or handed back (to be looked at first),
- * now; NULL: none. */
+/* A loan to renew now, and one to return now; NULL: none. Return a loan before
+ * looking for a renewal. */
 const struct sas_loan *SasBudget_FindRenewal(struct sas_budget *b,
                                              int64_t now_ms);
 const struct sas_loan *SasBudget_FindSurplus(struct sas_budget *b,
                                              int64_t now_ms);
 
-/* Before the renewal is sent: its sequence number, 0: no such loan. */
+/* Prepares a renewal, before it is sent. Returns its sequence number, 0: no
+ * such loan. */
 uint32_t SasBudget_Renew(struct sas_budget *b, uint64_t id, int64_t now_ms);
 void SasBudget_Renewed(struct sas_budget *b, uint64_t id, uint32_t renewal,
                        bool ok, int64_t now_ms);
 
-/* Gives back what of the loan is not in use and uses it for nothing new.
- * Returns what is left of it, to be told to the lender. */
+/* Returns the units of the loan that are not in use and acquires none of it
+ * any more. The result is what remains, to be sent to the lender. */
 int64_t SasBudget_Return(struct sas_budget *b, uint64_t id, int64_t now_ms);
 
 /* Lending. */
 
-/* What this seat could lend now; told to the peers as a hint. */
+/* Units that this member could lend now; sent to the peers as a hint. */
 int64_t SasBudget_GetUnused(struct sas_budget *b, int64_t now_ms);
 
-/* Before the answer is sent. The same id gets the same answer. */
+/* Handles a loan request, before the answer is sent. A repeated id gets the
+ * same answer. */
 int64_t SasBudget_Lend(struct sas_budget *b, int borrower, uint64_t id,
                        int64_t wanted, int64_t now_ms);
 
-/* Before the answer to a renewal is sent. */
+/* Handles a renewal, before the answer is sent. left: units of the loan that
+ * the borrower still has. False: the loan is not extended. */
 bool SasBudget_Extend(struct sas_budget *b, int borrower, uint64_t id,
                       int64_t left, int64_t now_ms);
+
+/* Handles a return; left as above. */
 void SasBudget_TakeBack(struct sas_budget *b, int borrower, uint64_t id,
                         int64_t left, int64_t now_ms);
 
 /* Peers. */
 
-/* A peer's hint and announced epoch, however late. */
-void SasBudget_Hint(struct sas_budget *b, int seat, int64_t unused,
+/* Applies a peer's hint and announced epoch, which may be late. */
+void SasBudget_Hint(struct sas_budget *b, int member_id, int64_t unused,
                     int64_t epoch, int64_t now_ms);
 
-/* A restarted lender asks: drops every open question to it. True when no
- * loan of it is left here. */
+/* A restarted lender asks whether this member holds a loan of it: drops the
+ * pending requests to it. True if no loan remains. */
 bool SasBudget_Disown(struct sas_budget *b, int lender, int64_t now_ms);
 
-/* That answer, for the incarnation that asked. When all seats gave it (a
- * seat that never had a VM counts as such), recovery ends early. */
-void SasBudget_Disowned(struct sas_budget *b, int seat, uint32_t incarnation,
-                        int64_t now_ms);
+/* A peer answered true to that, for the incarnation that asked. When all
+ * members have (one that never had a VM counts too), recovery ends early. */
+void SasBudget_Disowned(struct sas_budget *b, int member_id,
+                        uint32_t incarnation, int64_t now_ms);
 
 #endif
--- a/packages/core/src/budget.c
+++ b/packages/core/src/budget.c
@@ -5,16 +5,17 @@
 
 #define NEVER INT64_MIN
 
-/* The epochs between were not seen: a peer's floor may be anything. */
-#define UNKNOWN_PEAK (INT64_MAX / (2 * SasBudget_MAX_SEATS))
+/* A peer's floor may be anything after a skipped epoch. Low enough for a sum
+ * over all members. */
+#define UNKNOWN_FLOOR (INT64_MAX / (2 * SasBudget_MAX_SEATS))
 
 #define MAX_HINT INT32_MAX /* so that sums of hints do not overflow */
 
 #define TOKEN_SCALE 1000 /* tokens in a milli-unit */
 #define MEAN_SCALE 1000000
 
-/* A lender keeps more than its mean need by this many roots of it; a
- * borrower asks for its mean need only. Measured in docs/notes-budget.md. */
+/* Headroom above the mean need, in square roots of it: kept by a lender, and
+ * requested by a borrower. See docs/notes-budget.md. */
 #define LENDER_HEADROOM 0.5
 #define BORROWER_HEADROOM 0.0
 
@@ -38,34 +39,34 @@
 static int64_t borrowed_units(const struct sas_budget *b, int64_t now_ms);
 static struct sas_loan *find_loan(struct sas_loan *loans, uint64_t id);
 static struct sas_loan *find_free(struct sas_loan *loans);
-static void fill_bucket(struct sas_budget *b, int64_t now_ms);
+static void refill_bucket(struct sas_budget *b, int64_t now_ms);
 static int64_t burst_units(const struct sas_budget *b, int64_t now_ms);
-static void settle(struct sas_budget *b, int64_t now_ms);
-static void raise_entitled(struct sas_budget *b);
+static void advance(struct sas_budget *b, int64_t now_ms);
+static void raise_own_floor(struct sas_budget *b);
 static int64_t recent_need(const struct sas_budget *b, double headroom);
-static void fade(struct sas_budget *b, int64_t now_ms);
-static void note(int64_t *mean, int64_t units);
+static void decay(struct sas_budget *b, int64_t now_ms);
+static void add_to_mean(int64_t *mean, int64_t units);
 
 /* Splitting a limit. */
 
 void
-SasBudget_Split(int64_t limit, const int64_t *weights, int seats,
+SasBudget_Split(int64_t limit, const int64_t *weights, int member_count,
                 int64_t *floors)
 {
     int64_t total = 0;
     int64_t given = 0;
     int64_t rests[SasBudget_MAX_SEATS];
-    for (int i = 0; i < seats; i++) {
+    for (int i = 0; i < member_count; i++) {
         total += weights[i];
     }
-    for (int i = 0; i < seats; i++) {
+    for (int i = 0; i < member_count; i++) {
         floors[i] = total > 0 ? limit * weights[i] / total : 0;
         rests[i] = total > 0 ? limit * weights[i] % total : 0;
         given += floors[i];
     }
     while (total > 0 && given < limit) {
         int best = 0;
-        for (int i = 1; i < seats; i++) {
+        for (int i = 1; i < member_count; i++) {
             best = rests[i] > rests[best] ? i : best;
         }
         rests[best] = -1;
@@ -74,7 +75,7 @@
     }
 }
 
-/* Starting and changing. */
+/* Start and changes of the floors. */
 
 void
 SasBudget_Init(struct sas_budget *b,
@@ -85,7 +86,7 @@
     b->settings = *settings;
     b->epoch = epoch;
     b->announced = -1;
-    b->faded_ms = now_ms;
+    b->decayed_ms = now_ms;
     b->filled_ms = now_ms;
     for (int i = 0; i < settings->seats; i++) {
         b->floors[i] = floors[i];
@@ -96,9 +97,9 @@
         b->peers[i].backoff_ms = SasBudget_MIN_BACKOFF_MS;
     }
     b->entitled = floors[settings->own_seat];
-    /* An earlier incarnation may have lent all but the reserve moments ago,
-     * and nobody else remembers: using the whole floor at once would use
-     * those units twice. The last of such loans ends within a hold. */
+    /* An earlier incarnation may just have lent all but the reserve, and only
+     * its borrowers know. Using the whole floor now would use those units
+     * twice. The last of these loans ends within hold_ms. */
     b->recovering = settings->seats > 1;
     b->recover_until_ms = now_ms + hold_ms(b);
 }
@@ -110,32 +111,33 @@
     if (epoch <= b->epoch) {
         return;
     }
-    settle(b, now_ms);
+    advance(b, now_ms);
     bool skipped = epoch != b->epoch + 1;
     b->epoch = epoch;
     for (int i = 0; i < b->settings.seats; i++) {
         struct sas_budget_peer *peer = &b->peers[i];
         b->floors[i] = floors[i];
-        /* A peer that did not announce this epoch may still use its floor of
-         * any epoch since the last one that it did announce. */
-        peer->peak = skipped ? UNKNOWN_PEAK : at_least(peer->peak, floors[i]);
+        /* A peer that has not announced this epoch may still use its floor of
+         * any epoch since the last one that it announced. */
+        peer->peak = skipped ? UNKNOWN_FLOOR : at_least(peer->peak, floors[i]);
         peer->peak = peer->epoch == epoch ? floors[i] : peer->peak;
     }
     b->entitled = at_most(b->entitled, floors[b->settings.own_seat]);
-    raise_entitled(b);
+    raise_own_floor(b);
 }
 
 int64_t
 SasBudget_GetAnnounced(struct sas_budget *b, int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     int64_t lent = lent_units(b);
-    /* Others rise on our word that we came down. Loans and running requests
-     * of the older epoch are still there, so the word waits for them, also
-     * for the reserve that a restart would use beside the loans. */
-    bool down = lent + b->own_used <= b->entitled &&
-                lent <= b->entitled - reserve_of(b->entitled);
-    if (down && !b->recovering) {
+    /* Peers use more once we announce that we use less. So the announcement
+     * waits for the loans and running requests of the older epoch, and for the
+     * reserve, which a restarted process would use in addition to the loans.
+     */
+    bool within = lent + b->own_used <= b->entitled &&
+                  lent <= b->entitled - reserve_of(b->entitled);
+    if (within && !b->recovering) {
         b->announced = b->epoch;
     }
     return b->announced;
@@ -144,17 +146,17 @@
 bool
 SasBudget_IsSettled(struct sas_budget *b, int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     return !b->recovering && lent_units(b) == 0 && SasBudget_GetUsed(b) == 0 &&
            borrowed_units(b, now_ms) == 0;
 }
 
-/* Using. */
+/* Use. */
 
 int64_t
 SasBudget_GetAllowance(struct sas_budget *b, int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     return own_units(b) + borrowed_units(b, now_ms);
 }
 
@@ -172,68 +174,68 @@
 SasBudget_Take(struct sas_budget *b, int64_t units, int64_t lasts_ms,
                int64_t now_ms)
 {
-    settle(b, now_ms);
-    int pot = -1;
-    for (int i = 0; i < SasBudget_MAX_LOANS && pot < 0; i++) {
+    advance(b, now_ms);
+    int source = -1;
+    for (int i = 0; i < SasBudget_MAX_LOANS && source < 0; i++) {
         const struct sas_loan *loan = &b->borrowed[i];
-        /* The lender takes its units back when the loan ends, whether the
-         * request on them is done or not. A request that might outlast the
-         * loan would then be one too many at the backend server. */
+        /* The lender uses its units again when the loan ends, whether or not
+         * a request on them is still running. A request that outlasted the
+         * loan would exceed the limit. */
         if (loan->id != 0 && !loan->closing &&
             lasts_ms <= loan->until_ms - now_ms &&
             loan->used + units <= loan->granted) {
-            pot = i + 1;
+            source = i + 1;
         }
     }
     int64_t own = own_units(b) - b->own_used - overdue_units(b, now_ms);
-    if (pot < 0 && units <= own) {
-        pot = 0;
+    if (source < 0 && units <= own) {
+        source = 0;
     }
-    if (pot < 0) {
-        note(&b->refused, units);
+    if (source < 0) {
+        add_to_mean(&b->mean_refused, units);
         b->short_of = true;
         return -1;
     }
-    if (pot == 0) {
+    if (source == 0) {
         b->own_used += units;
     }
     else {
-        b->borrowed[pot - 1].used += units;
+        b->borrowed[source - 1].used += units;
     }
-    note(&b->taken, units);
-    return pot;
+    add_to_mean(&b->mean_acquired, units);
+    return source;
 }
 
 void
-SasBudget_Give(struct sas_budget *b, int pot, int64_t units, int64_t now_ms)
+SasBudget_Give(struct sas_budget *b, int source, int64_t units, int64_t now_ms)
 {
-    if (pot == 0) {
+    if (source == 0) {
         b->own_used -= units;
     }
     else {
-        b->borrowed[pot - 1].used -= units;
+        b->borrowed[source - 1].used -= units;
     }
-    settle(b, now_ms);
+    advance(b, now_ms);
 }
 
 bool
 SasBudget_TakeRate(struct sas_budget *b, int64_t amount, int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     if (amount * TOKEN_SCALE > b->tokens) {
-        note(&b->refused, amount);
+        add_to_mean(&b->mean_refused, amount);
         b->short_of = true;
         return false;
     }
     b->tokens -= amount * TOKEN_SCALE;
-    note(&b->taken, amount);
+    add_to_mean(&b->mean_acquired, amount);
     return true;
 }
 
 int64_t
 SasBudget_GetBurst(struct sas_budget *b, int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     return burst_units(b, now_ms);
 }
 
@@ -242,7 +244,7 @@
 int64_t
 SasBudget_GetWanted(struct sas_budget *b, int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     int64_t allowance = own_units(b) + borrowed_units(b, now_ms);
     int64_t need = recent_need(b, BORROWER_HEADROOM);
     if (!b->short_of || need <= allowance) {
@@ -264,8 +266,8 @@
         if (i == b->settings.own_seat || now_ms < peer->ask_ms) {
             continue;
         }
-        /* Nothing heard lately: unknown rather than empty, worth a try when
-         * nobody is known to have something. */
+        /* Without a recent hint it is unknown what a peer has. Such a peer is
+         * chosen only while no peer is known to have unused units. */
         if (!known && fresh && peer->unused > 0) {
             known = true;
             memset(weights, 0, sizeof(weights));
@@ -290,11 +292,11 @@
 uint64_t
 SasBudget_Ask(struct sas_budget *b, int lender, int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     int pending = 0;
     for (int i = 0; i < SasBudget_MAX_LOANS; i++) {
-        /* One that is cut off answers never: it must not stop the others
-         * from being asked for as long as a loan lives. */
+        /* A partitioned peer never answers. Its pending request must not
+         * block requests to others until the loan would have ended. */
         pending += b->borrowed[i].pending &&
                    now_ms - b->borrowed[i].asked_ms < SasBudget_ANSWER_MS;
     }
@@ -306,8 +308,8 @@
     peer->ask_ms = now_ms + peer->backoff_ms;
     peer->backoff_ms = at_most(2 * peer->backoff_ms, SasBudget_MAX_BACKOFF_MS);
     b->next_loan++;
-    /* An id of an earlier incarnation would get that one's grant, whose end
-     * is nearer than a life from now. */
+    /* An id of an earlier incarnation would get that one's grant, which ends
+     * earlier than a loan granted now. */
     loan->id = (uint64_t)b->settings.incarnation << 32 | b->next_loan;
     loan->seat = lender;
     loan->pending = true;
@@ -320,10 +322,11 @@
 SasBudget_Borrowed(struct sas_budget *b, int lender, uint64_t id,
                    int64_t granted, int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     struct sas_loan *loan = find_loan(b->borrowed, id);
-    /* A doubled answer would count a loan twice; one that was handed back
-     * or has run out by our clock would count units the lender has again. */
+    /* A duplicate answer would count a loan twice; one to a loan that was
+     * returned or has ended by our clock would count units that the lender
+     * uses again. */
     if (loan == NULL || !loan->pending || loan->seat != lender) {
         return false;
     }
@@ -343,7 +346,7 @@
 const struct sas_loan *
 SasBudget_FindRenewal(struct sas_budget *b, int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     int64_t third = b->settings.life_ms / 3;
     for (int i = 0; i < SasBudget_MAX_LOANS; i++) {
         const struct sas_loan *loan = &b->borrowed[i];
@@ -351,7 +354,8 @@
             loan->granted == 0) {
             continue;
         }
-        /* Asked again after a tenth of its life when an answer is lost. */
+        /* From a third of its duration on, and again after each ninth of it
+         * without an answer. */
         if (loan->until_ms - now_ms <= 2 * third &&
             (loan->renewal == 0 || now_ms - loan->asked_ms >= third / 3)) {
             return loan;
@@ -363,7 +367,7 @@
 const struct sas_loan *
 SasBudget_FindSurplus(struct sas_budget *b, int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     int64_t allowance = own_units(b) + borrowed_units(b, now_ms);
     int64_t need = recent_need(b, LENDER_HEADROOM);
     need += need / 8 + (need > 0);
@@ -383,7 +387,7 @@
 uint32_t
 SasBudget_Renew(struct sas_budget *b, uint64_t id, int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     struct sas_loan *loan = find_loan(b->borrowed, id);
     if (loan == NULL || loan->pending || loan->closing) {
         return 0;
@@ -397,10 +401,10 @@
 SasBudget_Renewed(struct sas_budget *b, uint64_t id, uint32_t renewal, bool ok,
                   int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     struct sas_loan *loan = find_loan(b->borrowed, id);
-    /* Only the newest renewal's time is known: with an older answer the
-     * loan would be counted from a question that came after it. */
+    /* Only the newest renewal's time is known. With the answer to an older one
+     * the loan would be extended from a time after the lender's. */
     if (loan == NULL || loan->renewal != renewal || loan->pending) {
         return;
     }
@@ -415,13 +419,13 @@
 int64_t
 SasBudget_Return(struct sas_budget *b, uint64_t id, int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     struct sas_loan *loan = find_loan(b->borrowed, id);
     if (loan == NULL) {
         return 0;
     }
-    /* Lowered before the lender hears of it; a lost word only waits for the
-     * loan's end. */
+    /* Lowered before the message is sent. If that is lost, the lender has the
+     * units again when the loan ends. */
     loan->closing = true;
     loan->granted = loan->used;
     int64_t left = loan->granted;
@@ -436,7 +440,7 @@
 int64_t
 SasBudget_GetUnused(struct sas_budget *b, int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     if (b->recovering) {
         return 0;
     }
@@ -450,7 +454,7 @@
 SasBudget_Lend(struct sas_budget *b, int borrower, uint64_t id, int64_t wanted,
                int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     if (borrower < 0 || borrower >= b->settings.seats || id == 0) {
         return 0;
     }
@@ -479,8 +483,8 @@
     if (loan == NULL || loan->seat != borrower || loan->granted == 0) {
         return false;
     }
-    /* One's own callers come first, up to the floor. No more loans are
-     * ended than are needed for that. */
+    /* Own requests come first, up to the floor. No more loans are closed than
+     * those need. */
     int64_t closing = 0;
     for (int i = 0; i < SasBudget_MAX_LOANS; i++) {
         closing += b->lent[i].closing ? b->lent[i].granted : 0;
@@ -503,10 +507,10 @@
 SasBudget_TakeBack(struct sas_budget *b, int borrower, uint64_t id,
                    int64_t left, int64_t now_ms)
 {
-    settle(b, now_ms);
+    advance(b, now_ms);
     struct sas_loan *loan = find_loan(b->lent, id);
-    /* The word is what is left, not what comes back, so that a doubled or
-     * late one makes no units. */
+    /* The message holds what remains, not what is returned, so that a
+     * duplicate or late one creates no units. */
     if (loan != NULL && loan->seat == borrower) {
         loan->granted = at_most(loan->granted, at_least(left, 0));
     }
@@ -515,34 +519,34 @@
 /* Peers. */
 
 void
-SasBudget_Hint(struct sas_budget *b, int seat, int64_t unused, int64_t epoch,
-               int64_t now_ms)
+SasBudget_Hint(struct sas_budget *b, int member_id, int64_t unused,
+               int64_t epoch, int64_t now_ms)
 {
-    settle(b, now_ms);
-    if (seat < 0 || seat >= b->settings.seats ||
-        seat == b->settings.own_seat) {
+    advance(b, now_ms);
+    if (member_id < 0 || member_id >= b->settings.seats ||
+        member_id == b->settings.own_seat) {
         return;
     }
-    struct sas_budget_peer *peer = &b->peers[seat];
+    struct sas_budget_peer *peer = &b->peers[member_id];
     peer->unused = at_most(at_least(unused, 0), MAX_HINT);
     peer->hint_ms = now_ms;
     if (epoch <= peer->epoch) {
         return;
     }
     peer->epoch = epoch;
-    /* Only our own epoch's word counts: a peer that is further may have
-     * come there without ever using the floors of ours. */
+    /* Only an announcement of our own epoch counts: a peer in a later one may
+     * have skipped ours, and its present floor isn't known here. */
     if (epoch == b->epoch) {
-        peer->peak = b->floors[seat];
-        raise_entitled(b);
+        peer->peak = b->floors[member_id];
+        raise_own_floor(b);
     }
 }
 
 bool
 SasBudget_Disown(struct sas_budget *b, int lender, int64_t now_ms)
 {
-    settle(b, now_ms);
-    bool clear = true;
+    advance(b, now_ms);
+    bool none_left = true;
     for (int i = 0; i < SasBudget_MAX_LOANS; i++) {
         struct sas_loan *loan = &b->borrowed[i];
         if (loan->id == 0 || loan->seat != lender) {
@@ -552,40 +556,43 @@
             memset(loan, 0, sizeof(*loan));
         }
         else {
-            clear = false;
+            none_left = false;
         }
     }
-    return clear;
+    return none_left;
 }
 
 void
-SasBudget_Disowned(struct sas_budget *b, int seat, uint32_t incarnation,
+SasBudget_Disowned(struct sas_budget *b, int member_id, uint32_t incarnation,
                    int64_t now_ms)
 {
-    settle(b, now_ms);
-    /* A late answer to an earlier incarnation says nothing of the loans
-     * which that one made after it. */
-    if (incarnation != b->settings.incarnation || seat < 0 ||
-        seat >= b->settings.seats) {
+    advance(b, now_ms);
+    /* A late answer to an earlier incarnation says nothing about the loans
+     * that one granted after it asked. */
+    if (incarnation != b->settings.incarnation || member_id < 0 ||
+        member_id >= b->settings.seats) {
         return;
     }
-    b->peers[seat].disowned = true;
+    b->peers[member_id].disowned = true;
     for (int i = 0; i < b->settings.seats; i++) {
         if (i != b->settings.own_seat && !b->peers[i].disowned) {
             return;
         }
     }
     b->recover_until_ms = at_most(b->recover_until_ms, now_ms);
-    settle(b, now_ms);
+    advance(b, now_ms);
 }
 
 /* Static helpers. */
 
+/* How long a lender regards units as lent: longer than the borrower uses them,
+ * as clocks differ. */
 static int64_t
 hold_ms(const struct sas_budget *b)
 {
-    int64_t life = b->settings.life_ms;
-    return life + life * SasBudget_CLOCK_PERCENT / 100 + SasBudget_MARGIN_MS;
+    int64_t loan_ms = b->settings.life_ms;
+    return loan_ms + loan_ms * SasBudget_CLOCK_PERCENT / 100 +
+           SasBudget_MARGIN_MS;
 }
 
 static int64_t
@@ -604,8 +611,8 @@
     return units;
 }
 
-/* Units of requests that outlasted their loan: their end was promised before
- * it, so the process was paused or late. They block new ones. */
+/* Units of requests that outlasted their loan, although they should have ended
+ * before it: the process was paused. They reduce the own units. */
 static int64_t
 overdue_units(const struct sas_budget *b, int64_t now_ms)
 {
@@ -669,31 +676,32 @@
     return at_least(burst, b->settings.quantum);
 }
 
-/* Until now the allowance was what it is now, but for loans that ran out on
- * the way: those count as ended at the last filling, never too much. */
+/* Refills the token bucket at the rate that is usable now. Loans that ended
+ * since the last refill count as ended at that time: never too much. */
 static void
-fill_bucket(struct sas_budget *b, int64_t now_ms)
+refill_bucket(struct sas_budget *b, int64_t now_ms)
 {
     int64_t passed = at_least(now_ms - b->filled_ms, 0);
     int64_t allowance = own_units(b) + borrowed_units(b, now_ms);
-    int64_t most = burst_units(b, now_ms) * TOKEN_SCALE;
-    /* One second fills every bucket but those of less than a quantum a
-     * second; the bound only keeps the product small. */
+    int64_t burst = burst_units(b, now_ms) * TOKEN_SCALE;
+    /* At most an hour, to keep the product small. A bucket fills in a second,
+     * unless its rate is below a quantum per second. */
     passed = at_most(passed, 3600 * 1000);
     b->tokens += allowance * SasBudget_RATE_PERCENT / 100 * passed;
-    b->tokens = at_most(b->tokens, most);
+    b->tokens = at_most(b->tokens, burst);
     b->filled_ms = now_ms;
 }
 
-/* Brings everything that depends on time up to now. Called first by each
- * function, so that a process that was paused uses nothing that ran out. */
+/* Advances the state to now_ms: refills the bucket, decays the means, ends
+ * loans and the recovery. Functions that take the time call it first, so that
+ * a process that was paused uses nothing that has expired. */
 static void
-settle(struct sas_budget *b, int64_t now_ms)
+advance(struct sas_budget *b, int64_t now_ms)
 {
     if (b->settings.kind == SAS_BUDGET_RATE) {
-        fill_bucket(b, now_ms);
+        refill_bucket(b, now_ms);
     }
-    fade(b, now_ms);
+    decay(b, now_ms);
     for (int i = 0; i < SasBudget_MAX_LOANS; i++) {
         struct sas_loan *loan = &b->borrowed[i];
         if (loan->id != 0 && loan->until_ms <= now_ms) {
@@ -712,58 +720,60 @@
     }
 }
 
-/* Rises to the new floor as far as all that fall made room. Others that
- * rise are counted at their whole new floor, so that no two use one room. */
+/* Raises the own floor in use as far as members with falling floors have made
+ * room. Other members with rising floors count with the whole new floor, so
+ * that no two of them use the same units. */
 static void
-raise_entitled(struct sas_budget *b)
+raise_own_floor(struct sas_budget *b)
 {
     int own = b->settings.own_seat;
     int64_t limit = 0;
-    int64_t peaks = b->floors[own];
+    int64_t highest = b->floors[own];
     for (int i = 0; i < b->settings.seats; i++) {
         limit += b->floors[i];
-        peaks += i == own ? 0 : b->peers[i].peak;
+        highest += i == own ? 0 : b->peers[i].peak;
     }
-    int64_t lacking = at_least(peaks - limit, 0);
-    b->entitled = at_least(b->entitled, b->floors[own] - lacking);
+    int64_t excess = at_least(highest - limit, 0);
+    b->entitled = at_least(b->entitled, b->floors[own] - excess);
 }
 
-/* What callers asked for lately. Of concurrent units only those that were
- * let in show how long they stay, so what was refused is taken to be alike.
- * The root is the spread of arrivals that are independent. */
+/* Units that requests needed recently. How long refused requests would have
+ * held concurrent units is unknown, so they are assumed to be like the
+ * admitted ones. The square root is the deviation of independent arrivals. */
 static int64_t
 recent_need(const struct sas_budget *b, double headroom)
 {
-    double refused = (double)b->refused / MEAN_SCALE;
-    double taken = (double)b->taken / MEAN_SCALE;
+    double refused = (double)b->mean_refused / MEAN_SCALE;
+    double acquired = (double)b->mean_acquired / MEAN_SCALE;
     if (b->settings.kind == SAS_BUDGET_RATE) {
-        /* A seat without a floor has taken nothing yet; it begins with what
-         * lets one amount pass a second. */
-        double most = MAX(taken, (double)b->settings.quantum);
-        return (int64_t)(taken + MIN(refused, most) + taken / 8.0 + 0.5);
-    }
-    double use = (double)b->use / MEAN_SCALE;
-    double need = taken > 0.0 ? use * (taken + refused) / taken : use;
+        /* A member without a floor has acquired nothing yet. It begins with a
+         * quantum per second. */
+        double most = MAX(acquired, (double)b->settings.quantum);
+        return (int64_t)(acquired + MIN(refused, most) + acquired / 8.0 + 0.5);
+    }
+    double used = (double)b->mean_used / MEAN_SCALE;
+    double need =
+        acquired > 0.0 ? used * (acquired + refused) / acquired : used;
     need = MAX(need, refused > 0.0 ? 1.0 : 0.0);
     return (int64_t)(need + headroom * sqrt(need) + 0.5);
 }
 
-/* Lets the recent means fade and brings in the units in use since. */
+/* Decays the means and adds the units in use since the last call. */
 static void
-fade(struct sas_budget *b, int64_t now_ms)
+decay(struct sas_budget *b, int64_t now_ms)
 {
-    int64_t passed = at_least(now_ms - b->faded_ms, 0);
-    double kept = exp(-(double)passed / SasBudget_RECENT_MS);
+    int64_t passed = at_least(now_ms - b->decayed_ms, 0);
+    double factor = exp(-(double)passed / SasBudget_RECENT_MS);
     double used = (double)SasBudget_GetUsed(b) * MEAN_SCALE;
-    b->use = (int64_t)(used + ((double)b->use - used) * kept);
-    b->taken = (int64_t)((double)b->taken * kept);
-    b->refused = (int64_t)((double)b->refused * kept);
-    b->faded_ms = now_ms;
+    b->mean_used = (int64_t)(used + ((double)b->mean_used - used) * factor);
+    b->mean_acquired = (int64_t)((double)b->mean_acquired * factor);
+    b->mean_refused = (int64_t)((double)b->mean_refused * factor);
+    b->decayed_ms = now_ms;
 }
 
-/* Adds units to a mean a second. */
+/* Adds units to a decaying mean per second. */
 static void
-note(int64_t *mean, int64_t units)
+add_to_mean(int64_t *mean, int64_t units)
 {
     *mean += units * MEAN_SCALE * 1000 / SasBudget_RECENT_MS;
 }
--- a/packages/core/tests/budget_shim.c
+++ b/packages/core/tests/budget_shim.c
@@ -1,5 +1,5 @@
-/* Flat functions over budget, claim, quarantine and retry for the property
- * tests (ctypes). */
+/* Functions without structs over budget, claim and quarantine, which the
+ * property tests call through ctypes. */
 #include <stddef.h>
 #include <stdlib.h>
 #include <string.h>
@@ -8,7 +8,7 @@
 #include "sas/claim.h"
 #include "sas/quarantine.h"
 
-struct sas_budget *SasShim_NewBudget(int kind, int seats, int own_seat,
+struct sas_budget *SasShim_NewBudget(int kind, int member_count, int own_id,
                                      uint32_t incarnation, int64_t life_ms,
                                      int64_t quantum, const int64_t *floors,
                                      int64_t epoch, int64_t now_ms);
@@ -41,14 +41,14 @@
 void SasShim_Free(void *memory);
 
 struct sas_budget *
-SasShim_NewBudget(int kind, int seats, int own_seat, uint32_t incarnation,
+SasShim_NewBudget(int kind, int member_count, int own_id, uint32_t incarnation,
                   int64_t life_ms, int64_t quantum, const int64_t *floors,
                   int64_t epoch, int64_t now_ms)
 {
     struct sas_budget_settings settings = {
         .kind = kind == 0 ? SAS_BUDGET_CONCURRENT : SAS_BUDGET_RATE,
-        .seats = seats,
-        .own_seat = own_seat,
+        .seats = member_count,
+        .own_seat = own_id,
         .incarnation = incarnation,
         .life_ms = life_ms,
         .quantum = quantum,
@@ -100,7 +100,8 @@
     g_free(memory);
 }
 
-/* The allowance, looked up without waking the (perhaps paused) seat. */
+/* The usable units, read from a copy so that a paused member's state doesn't
+ * advance. */
 int64_t
 SasShim_PeekAllowance(const struct sas_budget *b, int64_t now_ms)
 {
@@ -115,7 +116,7 @@
     return SasBudget_GetAnnounced(&copy, now_ms);
 }
 
-/* When the next loan or the recovery ends, -1: nothing is open. */
+/* When the next loan or the recovery ends, -1: neither is under way. */
 int64_t
 SasShim_PeekNextEnd(const struct sas_budget *b, int64_t now_ms)
 {
@@ -148,7 +149,7 @@
     g_free(c);
 }
 
-/* action * 100 + answer; row as JSON or NULL. */
+/* Returns action * 100 + answer, or -1 for a bad row. row: JSON or NULL. */
 int
 SasShim_HandleClaim(struct sas_claim *c, int event, const char *row,
                     const char *etag)
@@ -169,7 +170,7 @@
     return c->etag;
 }
 
-/* The row to write now; SasShim_Free. */
+/* JSON of the row to write now; free with SasShim_Free. */
 char *
 SasShim_EncodeClaim(const struct sas_claim *c)
 {
@@ -186,31 +187,31 @@
 SasShim_Suspect(struct sas_quarantine *q, uint64_t fingerprint, uint64_t crash,
                 bool alone, int64_t now_ms)
 {
-    struct sas_fingerprint whole = {0, fingerprint};
-    SasQuarantine_Suspect(q, whole, crash, alone, now_ms);
+    struct sas_fingerprint full = {0, fingerprint};
+    SasQuarantine_Suspect(q, full, crash, alone, now_ms);
 }
 
 void
 SasShim_Clear(struct sas_quarantine *q, uint64_t fingerprint, int64_t now_ms)
 {
-    struct sas_fingerprint whole = {0, fingerprint};
-    SasQuarantine_Clear(q, whole, now_ms);
+    struct sas_fingerprint full = {0, fingerprint};
+    SasQuarantine_Clear(q, full, now_ms);
 }
 
 int
 SasShim_Check(struct sas_quarantine *q, uint64_t fingerprint, int64_t now_ms)
 {
-    struct sas_fingerprint whole = {0, fingerprint};
+    struct sas_fingerprint full = {0, fingerprint};
     int retry_after_s;
-    return (int)SasQuarantine_Check(q, whole, now_ms, &retry_after_s);
+    return (int)SasQuarantine_Check(q, full, now_ms, &retry_after_s);
 }
 
 bool
 SasShim_BeginTrial(struct sas_quarantine *q, uint64_t fingerprint,
                    int64_t lasts_ms, int64_t now_ms)
 {
-    struct sas_fingerprint whole = {0, fingerprint};
-    return SasQuarantine_BeginTrial(q, whole, lasts_ms, now_ms);
+    struct sas_fingerprint full = {0, fingerprint};
+    return SasQuarantine_BeginTrial(q, full, lasts_ms, now_ms);
 }
 
 void
@@ -223,7 +224,8 @@
     }
 }
 
-/* All that a merge can change, one line an entry; SasShim_Free. */
+/* Text with all that a merge can change, one line per entry; free with
+ * SasShim_Free. */
 char *
 SasShim_PrintQuarantine(struct sas_quarantine *q, int64_t now_ms)
 {
