--- a/packages/core/src/claim.c
+++ b/packages/core/src/claim.c
@@ -20,9 +20,9 @@
 static struct sas_claim_step insert(struct sas_claim *c);
 static struct sas_claim_step release(struct sas_claim *c,
                                      enum sas_claim_answer answer);
-static struct sas_claim_step repeat(struct sas_claim *c,
-                                    enum sas_claim_action action,
-                                    enum sas_claim_answer answer);
+static struct sas_claim_step retry_action(struct sas_claim *c,
+                                          enum sas_claim_action action,
+                                          enum sas_claim_answer answer);
 static struct sas_claim_step finish(struct sas_claim *c,
                                     enum sas_claim_answer answer);
 static struct sas_claim_step on_inserting(struct sas_claim *c,
@@ -38,12 +38,12 @@
                                         enum sas_claim_event event);
 static struct sas_claim_step on_sent(struct sas_claim *c,
                                      enum sas_claim_event event);
-static struct sas_claim_step on_keeping(struct sas_claim *c,
-                                        enum sas_claim_event event);
-static struct sas_claim_step on_leaving(struct sas_claim *c,
-                                        enum sas_claim_event event,
-                                        const struct sas_claim_row *row,
-                                        const char *etag);
+static struct sas_claim_step on_saving(struct sas_claim *c,
+                                       enum sas_claim_event event);
+static struct sas_claim_step on_releasing(struct sas_claim *c,
+                                          enum sas_claim_event event,
+                                          const struct sas_claim_row *row,
+                                          const char *etag);
 static int encode_bytes(json_t *object, const char *name, const void *data,
                         size_t size);
 static unsigned char *decode_bytes(json_t *object, const char *name,
@@ -87,7 +87,7 @@
         !g_utf8_validate(key, -1, NULL) ||
         !g_utf8_validate(service, -1, NULL)) {
         SasError_Set(error, SAS_EINVAL, "claim.start", caller,
-                     "caller and key have to be UTF-8");
+                     "service, caller and key must be UTF-8");
         return -1;
     }
     SasClaim_GetRowKey(service, caller, key, c->row_key);
@@ -121,9 +121,9 @@
     case SAS_CLAIM_SENT:
         return on_sent(c, event);
     case SAS_CLAIM_KEEPING:
-        return on_keeping(c, event);
+        return on_saving(c, event);
     case SAS_CLAIM_LEAVING:
-        return on_leaving(c, event, row, etag);
+        return on_releasing(c, event, row, etag);
     case SAS_CLAIM_FINISHED:
         break;
     }
@@ -181,23 +181,24 @@
     memset(row, 0, sizeof(*row));
     json_auto_t *object = json_loads(text, JSON_REJECT_DUPLICATES, NULL);
     const char *state = json_string_value(json_object_get(object, "state"));
-    int found = -1;
+    int state_index = -1;
     for (int i = 0; state != NULL && i < 3; i++) {
-        found = strcmp(state, ROW_STATES[i]) == 0 ? i : found;
+        state_index = strcmp(state, ROW_STATES[i]) == 0 ? i : state_index;
     }
-    row->state = (enum sas_claim_row_state)MAX(found, 0);
+    row->state = (enum sas_claim_row_state)MAX(state_index, 0);
     row->service =
         g_strdup(json_string_value(json_object_get(object, "service")));
     row->caller =
         g_strdup(json_string_value(json_object_get(object, "caller")));
     row->key = g_strdup(json_string_value(json_object_get(object, "key")));
-    if (found < 0 || row->service == NULL || row->caller == NULL ||
+    if (state_index < 0 || row->service == NULL || row->caller == NULL ||
         row->key == NULL ||
         copy_text(row->token, sizeof(row->token),
                   json_object_get(object, "token")) < 0 ||
         copy_text(row->digest, sizeof(row->digest),
                   json_object_get(object, "digest")) < 0) {
-        SasError_Set(error, SAS_EINVAL, "claim.decode", "", "not a claim");
+        SasError_Set(error, SAS_EINVAL, "claim.decode", "",
+                     "not a valid claim row");
         SasClaim_FreeRow(row);
         return -1;
     }
@@ -257,9 +258,9 @@
     return step(c, SAS_CLAIM_INSERT, SAS_CLAIM_NO_ANSWER);
 }
 
-/* Leaves for good: after this the attempt never sends. An insert of ours
- * that is still on its way would claim the row for nobody; writing a
- * released row in its place makes the store refuse it. */
+/* Gives the claim up: after this the attempt never sends. If an insert of it
+ * is still in flight, the row would be held for an attempt that is over; a
+ * released row written before it makes the store refuse the insert. */
 static struct sas_claim_step
 release(struct sas_claim *c, enum sas_claim_answer answer)
 {
@@ -269,15 +270,15 @@
 }
 
 static struct sas_claim_step
-repeat(struct sas_claim *c, enum sas_claim_action action,
-       enum sas_claim_answer answer)
+retry_action(struct sas_claim *c, enum sas_claim_action action,
+             enum sas_claim_answer answer)
 {
-    if (c->repeats >= SasClaim_MAX_REPEATS) {
+    if (c->write_retries >= SasClaim_MAX_REPEATS) {
         return finish(c, answer);
     }
     struct sas_claim_step next = step(c, action, answer);
-    next.pause_ms = (int64_t)SasClaim_REPEAT_MS << c->repeats;
-    c->repeats++;
+    next.pause_ms = (int64_t)SasClaim_REPEAT_MS << c->write_retries;
+    c->write_retries++;
     return next;
 }
 
@@ -296,7 +297,7 @@
     switch (event) {
     case SAS_CLAIM_INSERT_OK:
         g_strlcpy(c->etag, etag, sizeof(c->etag));
-        if (c->answered) { /* the caller has gone meanwhile */
+        if (c->answered) { /* the caller has disconnected */
             return release(c, SAS_CLAIM_NO_ANSWER);
         }
         c->state = SAS_CLAIM_CLAIMED;
@@ -306,7 +307,7 @@
         c->state = SAS_CLAIM_READING;
         return step(c, SAS_CLAIM_READ, SAS_CLAIM_NO_ANSWER);
     case SAS_CLAIM_INSERT_FAILED:
-        /* An earlier insert of this attempt may be on its way. */
+        /* An earlier insert of this attempt may still be in flight. */
         if (c->inserts > 1) {
             return release(c, SAS_CLAIM_NOT_RUN);
         }
@@ -327,8 +328,8 @@
     case SAS_CLAIM_ROW_FOUND:
         return on_row(c, row, etag);
     case SAS_CLAIM_ROW_ABSENT:
-        /* Ours was lost, or is on its way: under the same token it does no
-         * harm twice. */
+        /* Our insert was lost or is still in flight. Another one under the
+         * same token is harmless. */
         c->etag[0] = '\0';
         if (c->answered || c->inserts >= SasClaim_MAX_INSERTS) {
             return release(c, SAS_CLAIM_NOT_RUN);
@@ -354,7 +355,7 @@
         return finish(c, SAS_CLAIM_COLLISION);
     }
     if (strcmp(row->token, c->row.token) == 0) {
-        /* The acknowledgement was lost, the insert was not. */
+        /* Our insert took effect, only its confirmation was lost. */
         g_strlcpy(c->etag, etag, sizeof(c->etag));
         if (c->answered) {
             return release(c, SAS_CLAIM_NOT_RUN);
@@ -398,8 +399,8 @@
 {
     switch (event) {
     case SAS_CLAIM_SHED:
-        /* Nothing ran: another backend server may be tried under this
-         * claim, or it is given up. */
+        /* Not run: another backend server may be tried under this claim, or
+         * it is released if the caller has disconnected. */
         if (c->answered) {
             return release(c, SAS_CLAIM_NO_ANSWER);
         }
@@ -408,19 +409,19 @@
     case SAS_CLAIM_ANSWER_WHOLE:
         c->state = SAS_CLAIM_KEEPING;
         c->row.state = SAS_CLAIM_DONE;
-        /* Kept first, answered then: a caller that has its answer and
-         * resends gets the same one. */
+        /* The answer is stored before it goes to the caller, so that a caller
+         * that resends gets the same one. */
         if (c->row.body_size > SasClaim_MAX_INLINE) {
             c->row.object = g_strdup_printf("%s-%s", c->row_key, c->row.token);
             return step(c, SAS_CLAIM_WRITE_OBJECT, SAS_CLAIM_NO_ANSWER);
         }
         return step(c, SAS_CLAIM_WRITE_DONE, SAS_CLAIM_NO_ANSWER);
     case SAS_CLAIM_ANSWER_LOST:
-        /* The row stays held for ever: whether it ran is not known, and a
-         * second run must not happen. */
+        /* The row stays held for good: whether the request ran is unknown, and
+         * it must not run again. */
         return finish(c, SAS_CLAIM_UNKNOWN);
     case SAS_CLAIM_CALLER_GONE:
-        /* It may be running: the answer is kept for the resend. */
+        /* It may be running: the answer is stored for a resend. */
         c->answered = true;
         return step(c, SAS_CLAIM_WAIT, SAS_CLAIM_NO_ANSWER);
     default:
@@ -429,7 +430,7 @@
 }
 
 static struct sas_claim_step
-on_keeping(struct sas_claim *c, enum sas_claim_event event)
+on_saving(struct sas_claim *c, enum sas_claim_event event)
 {
     switch (event) {
     case SAS_CLAIM_OBJECT_FAILED:
@@ -440,12 +441,12 @@
         return step(c, SAS_CLAIM_WRITE_DONE, SAS_CLAIM_NO_ANSWER);
     case SAS_CLAIM_DONE_OK:
     case SAS_CLAIM_DONE_REFUSED:
-        /* Refused: an earlier write of ours took effect, since nobody but
-         * the holder changes a held row. */
+        /* Refused: an earlier write of ours took effect, as only the holder
+         * changes a held row. */
         return finish(c, SAS_CLAIM_PASS);
     case SAS_CLAIM_DONE_LOST:
-        /* The caller waits no longer for the store. */
-        return repeat(c, SAS_CLAIM_WRITE_DONE, SAS_CLAIM_PASS);
+        /* The caller is answered without waiting for the retries. */
+        return retry_action(c, SAS_CLAIM_WRITE_DONE, SAS_CLAIM_PASS);
     case SAS_CLAIM_CALLER_GONE:
         c->answered = true;
         return step(c, SAS_CLAIM_WAIT, SAS_CLAIM_NO_ANSWER);
@@ -455,17 +456,17 @@
 }
 
 static struct sas_claim_step
-on_leaving(struct sas_claim *c, enum sas_claim_event event,
-           const struct sas_claim_row *row, const char *etag)
+on_releasing(struct sas_claim *c, enum sas_claim_event event,
+             const struct sas_claim_row *row, const char *etag)
 {
     switch (event) {
     case SAS_CLAIM_RELEASE_OK:
         return finish(c, SAS_CLAIM_NO_ANSWER);
     case SAS_CLAIM_RELEASE_LOST:
-        return repeat(c, SAS_CLAIM_RELEASE, SAS_CLAIM_NO_ANSWER);
+        return retry_action(c, SAS_CLAIM_RELEASE, SAS_CLAIM_NO_ANSWER);
     case SAS_CLAIM_RELEASE_REFUSED:
     case SAS_CLAIM_READ_FAILED:
-        return repeat(c, SAS_CLAIM_READ, SAS_CLAIM_NO_ANSWER);
+        return retry_action(c, SAS_CLAIM_READ, SAS_CLAIM_NO_ANSWER);
     case SAS_CLAIM_ROW_FOUND:
         if (strcmp(row->token, c->row.token) == 0 &&
             row->state == SAS_CLAIM_HELD) {
@@ -475,7 +476,7 @@
         return finish(c, SAS_CLAIM_NO_ANSWER);
     case SAS_CLAIM_ROW_ABSENT:
         c->etag[0] = '\0';
-        return repeat(c, SAS_CLAIM_RELEASE, SAS_CLAIM_NO_ANSWER);
+        return retry_action(c, SAS_CLAIM_RELEASE, SAS_CLAIM_NO_ANSWER);
     default:
         return step(c, SAS_CLAIM_WAIT, SAS_CLAIM_NO_ANSWER);
     }
@@ -483,7 +484,7 @@
 
 /* Static helpers. */
 
-/* With its length first, so that "a" + "bc" is not "ab" + "c". */
+/* Hashes the length first, so that "a" + "bc" differs from "ab" + "c". */
 static void
 add_field(XXH3_state_t *hash, const void *data, size_t size)
 {
@@ -512,7 +513,7 @@
     return json_object_set_new(object, name, json_string(text));
 }
 
-/* NULL when absent; always ends with a zero byte past its size. */
+/* NULL if absent. A zero byte follows the decoded bytes. */
 static unsigned char *
 decode_bytes(json_t *object, const char *name, size_t *size)
 {
--- a/packages/core/tests/property_claim.py
+++ b/packages/core/tests/property_claim.py
@@ -1,9 +1,9 @@
 """A request under one key runs at most once, and each answer is true.
 
-Attempts of one key at several nodes, against a store whose writes are
-refused, lost, applied with their acknowledgement lost, or applied much
-later, and whose reads are lost or old. An attempt is killed by never calling
-it again and frozen by calling it late.
+Attempts of one key at several entry VMs, against a store whose writes are
+refused, lost, applied with their confirmation lost, or applied much later, and
+whose reads fail or are stale. An attempt crashes by never being called again
+and is paused by being called late.
 """
 import base64
 import json
@@ -54,9 +54,9 @@
     def __init__(self):
         super().__init__()
         self.attempts, self.delayed = [], []
-        self.row, self.etag, self.old = None, 0, [(None, 0)]
-        self.executions, self.first = 0, None
-        self.kept = False
+        self.row, self.etag, self.versions = None, 0, [(None, 0)]
+        self.executions, self.first_answer = 0, None
+        self.stored = False
 
     def teardown(self):
         for attempt in self.attempts:
@@ -76,25 +76,25 @@
 
     def check_answer(self, a, row):
         if a.answer in (NOT_RUN, OTHER_BODY, COLLISION):
-            assert not a.ran, "ran, but told that it did not"
+            assert not a.ran, "ran, but answered that it did not"
         if a.answer in (PASS, RAN):
             assert a.ran or self.executions == 1
         if a.answer == PASS:
-            assert self.kept or a.done_lost, "answered before it was kept"
+            assert self.stored or a.done_lost, "answered before it was stored"
         if a.answer == REPLAY:
             body = base64.b64decode(json.loads(row)["body"])
-            assert body == self.first, "not the first answer"
+            assert body == self.first_answer, "not the first answer"
         if a.answer == OTHER_BODY:
             assert json.loads(row)["digest"].encode() != DIGESTS[a.digest]
-        if self.kept and a.action != RELEASE and a.answer == UNKNOWN:
+        if self.stored and a.action != RELEASE and a.answer == UNKNOWN:
             assert row is None or json.loads(row)["state"] == "held"
 
     def write(self, expected, text):
         if expected != (b"" if self.row is None else b"%d" % self.etag):
             return False
         self.row, self.etag = text, self.etag + 1
-        self.old.append((text, self.etag))
-        self.kept = self.kept or json.loads(text)["state"] == "done"
+        self.versions.append((text, self.etag))
+        self.stored = self.stored or json.loads(text)["state"] == "done"
         return True
 
     def acting(self, *actions):
@@ -109,7 +109,7 @@
 
     @precondition(lambda self: self.acting(INSERT, WRITE_DONE, RELEASE))
     @rule(pick=picks, how=st.sampled_from(
-        ["well", "well", "ack-lost", "lost", "late", "down"]))
+        ["ok", "ok", "ack-lost", "lost", "late", "down"]))
     def store_writes(self, pick, how):
         acting = self.acting(INSERT, WRITE_DONE, RELEASE)
         self.do_write(acting[pick % len(acting)], how)
@@ -122,7 +122,7 @@
         expected = get_etag(a.claim)
         if how == "down":
             self.feed(a, INSERT_FAILED if a.action == INSERT else lost)
-        elif how == "well":
+        elif how == "ok":
             done = self.write(expected, text)
             self.feed(a, ok if done else refused, None, b"%d" % self.etag)
         else:
@@ -138,27 +138,27 @@
         self.write(*self.delayed.pop(pick % len(self.delayed)))
 
     @precondition(lambda self: self.acting(READ))
-    @rule(pick=picks, how=st.sampled_from(["well", "well", "old", "down"]))
+    @rule(pick=picks, how=st.sampled_from(["ok", "ok", "stale", "down"]))
     def store_reads(self, pick, how):
         acting = self.acting(READ)
         self.do_read(acting[pick % len(acting)], how, pick)
 
     @precondition(lambda self: self.acting(INSERT, READ, WRITE_DONE, RELEASE))
     @rule(pick=picks)
-    def store_is_well(self, pick):
-        """An attempt goes on until the store has no part in it."""
+    def store_recovers(self, pick):
+        """An attempt continues until it doesn't wait for the store."""
         acting = self.acting(INSERT, READ, WRITE_DONE, RELEASE)
         a = acting[pick % len(acting)]
         for _ in range(10):
             if a.action == READ:
-                self.do_read(a, "well", 0)
+                self.do_read(a, "ok", 0)
             elif a.action in REPLIES:
-                self.do_write(a, "well")
+                self.do_write(a, "ok")
 
     def do_read(self, a, how, pick):
         row, etag = self.row, self.etag
-        if how == "old":
-            row, etag = self.old[pick % len(self.old)]
+        if how == "stale":
+            row, etag = self.versions[pick % len(self.versions)]
         if how == "down":
             self.feed(a, READ_FAILED)
         elif row is None:
@@ -190,7 +190,7 @@
             assert a.answer not in (NOT_RUN, OTHER_BODY, COLLISION)
         if how == "answer":
             body = b"answer of %d" % a.number
-            self.first = body
+            self.first_answer = body
             set_answer(a.claim, 200, b"", body, len(body))
             self.feed(a, ANSWER_WHOLE)
         elif how == "answer-lost":
@@ -207,7 +207,7 @@
     @rule(pick=picks, event=st.sampled_from(
         [INSERT_OK, INSERT_OK, FIRST_BYTE, DONE_OK, RELEASE_OK, SHED]))
     def stray_event(self, pick, event):
-        """A late event wakes no attempt that has given up or finished."""
+        """A late event restarts no attempt that released or finished."""
         a = self.attempts[pick % len(self.attempts)]
         if a.action == FINISH or (a.action in (RELEASE, READ)
                                   and event == INSERT_OK):
@@ -216,8 +216,8 @@
 
     @rule()
     def resend_after_success(self):
-        """With all well again, a resend gets the first answer."""
-        if not self.kept:
+        """Without faults, a resend gets the first answer."""
+        if not self.stored:
             return
         a = Attempt(len(self.attempts), 0)
         self.attempts.append(a)
--- a/packages/core/tests/test_claim.c
+++ b/packages/core/tests/test_claim.c
@@ -20,7 +20,7 @@
 }
 
 static void
-test_keys_do_not_run_together(void **state)
+test_hashes_keep_fields_apart(void **state)
 {
     (void)state;
     char a[SasClaim_ROW_KEY_SIZE];
@@ -37,7 +37,7 @@
 }
 
 static void
-test_row_survives_its_json(void **state)
+test_row_round_trips_through_json(void **state)
 {
     (void)state;
     struct sas_claim c;
@@ -61,10 +61,10 @@
     SasClaim_Free(&c);
 }
 
-/* Two litigants' keys share a hash. The second one's filing finds the row
- * of the first and must get neither that one's answer nor its claim. */
+/* Two callers' keys have the same hash. The second caller finds the first
+ * one's row and must get neither its answer nor its claim. */
 static void
-test_collision_never_mixes_callers(void **state)
+test_hash_collision_does_not_mix_callers(void **state)
 {
     (void)state;
     struct sas_claim c;
@@ -84,11 +84,10 @@
     SasClaim_Free(&c);
 }
 
-/* The caller was told "not run" because the store went away. The word that
- * the claim was written comes after all: sending now would make that untrue.
- */
+/* The caller was told "not run" because the store failed. A late confirmation
+ * of the insert must not make the attempt send the request. */
 static void
-test_given_up_attempt_never_sends(void **state)
+test_released_attempt_never_sends(void **state)
 {
     (void)state;
     struct sas_claim c;
@@ -108,10 +107,10 @@
     SasClaim_Free(&c);
 }
 
-/* A large answer's body goes to an object first; when that fails the resend
- * is told that it ran. */
+/* The body of a large answer is stored as an object. If that fails, a resend
+ * is told that the request ran. */
 static void
-test_large_body_goes_to_object(void **state)
+test_large_body_is_stored_as_object(void **state)
 {
     (void)state;
     struct sas_claim c;
@@ -131,14 +130,14 @@
     struct sas_claim_row row;
     assert_int_equal(SasClaim_DecodeRow(text, &row, NULL), 0);
     assert_true(row.body_lost);
-    struct sas_claim again;
-    start(&again, "t2");
-    SasClaim_Handle(&again, SAS_CLAIM_INSERT_REFUSED, NULL, NULL);
-    next = SasClaim_Handle(&again, SAS_CLAIM_ROW_FOUND, &row, "e2");
+    struct sas_claim resend;
+    start(&resend, "t2");
+    SasClaim_Handle(&resend, SAS_CLAIM_INSERT_REFUSED, NULL, NULL);
+    next = SasClaim_Handle(&resend, SAS_CLAIM_ROW_FOUND, &row, "e2");
     assert_int_equal(next.answer, SAS_CLAIM_RAN);
     assert_string_equal(SasClaim_GetAnswerName(next.answer), "ran");
     SasClaim_FreeRow(&row);
-    SasClaim_Free(&again);
+    SasClaim_Free(&resend);
     SasClaim_Free(&c);
 }
 
@@ -146,11 +145,11 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_keys_do_not_run_together),
-        cmocka_unit_test(test_row_survives_its_json),
-        cmocka_unit_test(test_collision_never_mixes_callers),
-        cmocka_unit_test(test_given_up_attempt_never_sends),
-        cmocka_unit_test(test_large_body_goes_to_object),
+        cmocka_unit_test(test_hashes_keep_fields_apart),
+        cmocka_unit_test(test_row_round_trips_through_json),
+        cmocka_unit_test(test_hash_collision_does_not_mix_callers),
+        cmocka_unit_test(test_released_attempt_never_sends),
+        cmocka_unit_test(test_large_body_is_stored_as_object),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
