--- a/packages/core/include/sas/allowance.h
+++ b/packages/core/include/sas/allowance.h
@@ -22,7 +22,7 @@
 
 struct sas_repeat_allowance {
     struct sas_window requests;
-    struct sas_window repeats;
+    struct sas_window retries;
     double share;
     double burst;
 };
--- a/packages/core/include/sas/retry.h
+++ b/packages/core/include/sas/retry.h
@@ -75,7 +75,7 @@
  * that were refused together do not retry together. */
 int SasRetry_ChooseRetryAfter(int base_s, GRand *rand);
 
-/* Counter labels, for example "no-budget" and "shed". */
+/* Counter labels, such as "no-budget" and "shed". */
 const char *SasRetry_GetVerdictName(enum sas_retry_verdict decision);
 const char *SasRetry_GetReasonName(enum sas_retry_reason reason);
 
--- a/packages/core/src/allowance.c
+++ b/packages/core/src/allowance.c
@@ -9,7 +9,7 @@
                double burst, int64_t window_ms)
 {
     SasWindow_Init(&allowance->requests, window_ms);
-    SasWindow_Init(&allowance->repeats, window_ms);
+    SasWindow_Init(&allowance->retries, window_ms);
     allowance->share = share;
     allowance->burst = burst;
 }
@@ -26,11 +26,11 @@
     double requests = SasWindow_Count(&allowance->requests, now_ms);
     double limit =
         allowance->share * requests + allowance->burst / MAX(vms, 1);
-    if (SasWindow_Count(&allowance->repeats, now_ms) + 1 >
+    if (SasWindow_Count(&allowance->retries, now_ms) + 1 >
         SasAllowance_MARGIN * limit) {
         return false;
     }
-    SasWindow_Add(&allowance->repeats, 1, now_ms);
+    SasWindow_Add(&allowance->retries, 1, now_ms);
     return true;
 }
 
--- a/packages/core/tests/property_retry.py
+++ b/packages/core/tests/property_retry.py
@@ -1,4 +1,4 @@
-"""Retries are granted only where a second run is safe, and within the budget."""
+"""Retries are granted only if they are safe and within the budget."""
 import ctypes
 import unittest
 
--- a/packages/core/tests/test_allowance.c
+++ b/packages/core/tests/test_allowance.c
@@ -35,15 +35,15 @@
         SasRepeat_Init(&allowances[vm], 0.2, 58, 10000);
     }
     int requests = 0;
-    int repeats = 0;
+    int retries = 0;
     for (int64_t t = 0; t < 10000; t += 2) {
         int vm = t < 5000 ? 0 : (int)(t / 2) % VMS; /* first all at one */
         SasRepeat_NoteRequest(&allowances[vm], t);
         requests++;
-        repeats += SasRepeat_Take(&allowances[vm], VMS, t) ? 1 : 0;
+        retries += SasRepeat_Take(&allowances[vm], VMS, t) ? 1 : 0;
     }
-    assert_true(repeats <= 0.2 * requests + 58);
-    assert_true(repeats >= 0.7 * 0.2 * requests);
+    assert_true(retries <= 0.2 * requests + 58);
+    assert_true(retries >= 0.7 * 0.2 * requests);
 }
 
 /* A zone's servers restart cold together. Each can handle 9 requests a second
