--- a/packages/core/include/sas/allowance.h
+++ b/packages/core/include/sas/allowance.h
@@ -27,8 +27,8 @@
     double burst;
 };
 
-/* Retry budget of one service: the part share of its requests within
- * window_ms, and the burst that all entry VMs together may add. */
+/* Retry budget of one service within window_ms: share times its requests, plus
+ * burst, which all entry VMs share. */
 void SasRepeat_Init(struct sas_repeat_allowance *allowance, double share,
                     double burst, int64_t window_ms);
 void SasRepeat_NoteRequest(struct sas_repeat_allowance *allowance,
--- a/packages/core/include/sas/claim.h
+++ b/packages/core/include/sas/claim.h
@@ -79,7 +79,7 @@
     SAS_CLAIM_CALLER_GONE,  /* the caller has disconnected */
     SAS_CLAIM_OBJECT_OK,
     SAS_CLAIM_OBJECT_FAILED,
-    SAS_CLAIM_DONE_OK, /* results of WRITE_DONE and RELEASE as of INSERT */
+    SAS_CLAIM_DONE_OK, /* this and the next as for INSERT */
     SAS_CLAIM_DONE_REFUSED,
     SAS_CLAIM_DONE_LOST,
     SAS_CLAIM_RELEASE_OK,
--- a/packages/core/include/sas/limits.h
+++ b/packages/core/include/sas/limits.h
@@ -24,7 +24,7 @@
 #define SasUpstream_NO_REUSE_MS 600000
 
 /* Steering. */
-#define SasSteer_SPILL_AFTER_MS 50               /* of queueing at home */
+#define SasSteer_SPILL_AFTER_MS 50 /* queue time in the home region */
 #define SasSteer_DEFAULT_PLACEMENT "owned-first" /* see sas/place.h */
 #define SasSteer_FIRST_ANSWER_BYTES 16384 /* estimate before any answer */
 
--- a/packages/core/include/sas/owner.h
+++ b/packages/core/include/sas/owner.h
@@ -7,11 +7,12 @@
  * only its own objects move.
  *
  * An object is owned in its caller's region if that has an equal share of the
- * service's execution slots, all slots / regions. A region with fewer slots
- * keeps the part of its objects that its slots allow; the others are owned in
- * regions with more slots than an equal share. Otherwise its servers would be
- * overloaded while others idle. Whole objects move rather than single
- * requests, which would find their object uncached at both servers.
+ * service's execution slots, which is all slots divided by the number of
+ * regions. A region with fewer slots keeps the part of its objects that its
+ * slots allow; the others are owned in regions with more slots than an equal
+ * share. Otherwise the servers of a small region would be overloaded while
+ * others idle. Whole objects move: moving single requests would have two
+ * servers load the object into their caches.
  *
  * To keep large bodies off the links between failure domains, a query can
  * prefer the caller's zone, so that an object has an owner in each zone of its
--- a/packages/core/src/budget.c
+++ b/packages/core/src/budget.c
@@ -676,8 +676,8 @@
     return at_least(burst, b->settings.quantum);
 }
 
-/* Refills the token bucket at the rate that is usable now. Loans that ended
- * since the last refill count as ended at that time: never too much. */
+/* Refills the token bucket at the rate that is usable now. A loan that ended
+ * since the last refill adds nothing, so it is never too much. */
 static void
 refill_bucket(struct sas_budget *b, int64_t now_ms)
 {
