--- a/packages/node/src/admin.c
+++ b/packages/node/src/admin.c
@@ -12,8 +12,8 @@
 #define JSON_TYPE "application/json"
 
 struct sas_admin {
-    struct sas_admin_parts parts;
-    struct sas_server *server;
+    struct sas_admin_options options;
+    struct sas_h2o_server *server;
     int unauthorized;
     int waiting; /* calls that wait for the store */
     uint64_t next_operation;
@@ -27,8 +27,8 @@
 /* A call that waits for the store. It is freed by its answer; when the
  * request goes before that, req is NULL. */
 struct admin_call {
-    struct sas_put_user put_user;         /* first */
-    struct sas_history_user history_user; /* for history and operations */
+    struct sas_put_listener put_user;         /* first */
+    struct sas_history_listener history_user; /* for history and operations */
     struct sas_admin *admin;
     h2o_req_t *req;
     struct admin_link *link;
@@ -36,31 +36,31 @@
     bool is_operation;
 };
 
-static int handle(struct sas_server_handler *handler, h2o_req_t *req);
+static int handle(struct sas_h2o_server_handler *handler, h2o_req_t *req);
 
 struct sas_admin *
-SasAdmin_Open(const struct sas_admin_parts *parts,
+SasAdmin_Open(const struct sas_admin_options *options,
               const struct sas_address *address, struct sas_error *error)
 {
     static const char *const paths[] = {
         "/v1/sheet",  "/v1/history", "/v1/operations", "/v1/drain",
         "/v1/status", "/v1/health",  "/metrics"};
     struct sas_admin *admin = g_new0(struct sas_admin, 1);
-    admin->parts = *parts;
+    admin->options = *options;
     admin->unauthorized =
-        SasMetrics_Register(parts->metrics, "sas_admin_unauthorized_total",
+        SasMetrics_Register(options->metrics, "sas_admin_unauthorized_total",
                             NULL, NULL, "Admin calls without the right token");
-    struct sas_server_limits limits = {
+    struct sas_h2o_server_limits limits = {
         .body_limit = SasSheet_MAX_BYTES,
         .bodies_limit = 4 * (size_t)SasSheet_MAX_BYTES,
         .max_connections = MAX_CONNECTIONS,
     };
-    admin->server = SasServer_Open(parts->loop, &limits);
-    SasServer_RegisterCounters(admin->server, parts->metrics, "admin");
+    admin->server = SasH2oServer_Open(options->loop, &limits);
+    SasH2oServer_RegisterCounters(admin->server, options->metrics, "admin");
     for (size_t i = 0; i < G_N_ELEMENTS(paths); i++) {
-        SasServer_AddHandler(admin->server, paths[i], handle, admin);
+        SasH2oServer_AddHandler(admin->server, paths[i], handle, admin);
     }
-    if (SasServer_Listen(admin->server, address, error) != 0) {
+    if (SasH2oServer_Listen(admin->server, address, error) != 0) {
         SasAdmin_Close(admin);
         return NULL;
     }
@@ -70,7 +70,7 @@
 void
 SasAdmin_Close(struct sas_admin *admin)
 {
-    SasServer_Close(admin->server);
+    SasH2oServer_Close(admin->server);
     g_free(admin);
 }
 
@@ -83,8 +83,8 @@
 void
 SasAdmin_End(struct sas_admin *admin)
 {
-    SasServer_StopListening(admin->server);
-    SasServer_StopReading(admin->server);
+    SasH2oServer_StopListening(admin->server);
+    SasH2oServer_StopReading(admin->server);
 }
 
 /* Answering. */
@@ -93,7 +93,7 @@
 answer_json(h2o_req_t *req, int status, json_t *body)
 {
     char *text = json_dumps(body, JSON_COMPACT | JSON_REAL_PRECISION(6));
-    SasServer_Answer(req, status, JSON_TYPE, text, strlen(text));
+    SasH2oServer_Answer(req, status, JSON_TYPE, text, strlen(text));
     free(text);
     json_decref(body);
 }
@@ -102,7 +102,7 @@
 answer_reason(h2o_req_t *req, int status, const char *reason, const char *text)
 {
     if (status == 503) {
-        SasServer_AddHeader(req, "retry-after", "1");
+        SasH2oServer_AddHeader(req, "retry-after", "1");
     }
     answer_json(req, status,
                 json_pack("{s:s, s:s}", "reason", reason, "text", text));
@@ -114,17 +114,17 @@
 static bool
 is_authorized(struct sas_admin *admin, h2o_req_t *req)
 {
-    if (admin->parts.token == NULL) {
+    if (admin->options.token == NULL) {
         return true;
     }
-    const char *value = SasServer_GetHeader(req, "authorization");
+    const char *value = SasH2oServer_GetHeader(req, "authorization");
     if (value == NULL || !g_str_has_prefix(value, "Bearer ")) {
         return false;
     }
     value += strlen("Bearer ");
-    size_t size = strlen(admin->parts.token);
+    size_t size = strlen(admin->options.token);
     return strlen(value) == size &&
-           CRYPTO_memcmp(value, admin->parts.token, size) == 0;
+           CRYPTO_memcmp(value, admin->options.token, size) == 0;
 }
 
 /* Puts. */
@@ -176,7 +176,8 @@
 }
 
 static void
-on_put_answer(struct sas_put_user *user, const struct sas_put_answer *answer)
+on_put_answer(struct sas_put_listener *user,
+              const struct sas_put_answer *answer)
 {
     struct admin_call *call = (struct admin_call *)user;
     h2o_req_t *req = call->req;
@@ -229,14 +230,14 @@
 static int
 read_put_headers(struct sas_admin *admin, h2o_req_t *req, struct sas_put *put)
 {
-    const char *vm = admin->parts.vm;
-    put->operation = SasServer_GetHeader(req, "sas-operation");
-    put->operator_name = SasServer_GetHeader(req, "sas-operator");
+    const char *vm = admin->options.vm;
+    put->operation = SasH2oServer_GetHeader(req, "sas-operation");
+    put->operator_name = SasH2oServer_GetHeader(req, "sas-operator");
     if (put->operation == NULL) {
         char *name = h2o_mem_alloc_pool(&req->pool, SasConfig_NAME_SIZE);
         snprintf(name, SasConfig_NAME_SIZE,
                  "%.24s-%" G_GINT64_FORMAT "-%" G_GUINT64_FORMAT, vm,
-                 admin->parts.get_wall_ms(), ++admin->next_operation);
+                 admin->options.get_wall_ms(), ++admin->next_operation);
         put->operation = name;
     }
     if (put->operator_name == NULL) {
@@ -249,7 +250,7 @@
         return -1;
     }
     put->if_version = -1;
-    const char *match = SasServer_GetHeader(req, "if-match");
+    const char *match = SasH2oServer_GetHeader(req, "if-match");
     if (match != NULL) {
         char *end = NULL;
         const char *digits = match + strspn(match, "\"");
@@ -274,37 +275,37 @@
 static int
 put_sheet(struct sas_admin *admin, h2o_req_t *req)
 {
-    if (admin->parts.read_only) {
+    if (admin->options.read_only) {
         return refuse_change(req);
     }
     struct sas_put put = {0};
     if (read_put_headers(admin, req, &put) != 0) {
         return 0;
     }
-    const char *dry_run = SasServer_GetParameter(req, "dry_run");
+    const char *dry_run = SasH2oServer_GetParameter(req, "dry_run");
     put.dry_run = dry_run != NULL && strcmp(dry_run, "0") != 0;
     put.sheet = req->entity.len > 0 ? req->entity.base : "";
     put.sheet_size = req->entity.len;
-    SasConfigure_Put(admin->parts.configure, &put,
-                     &create_call(admin, req)->put_user);
+    SasConfigStore_Put(admin->options.config_store, &put,
+                       &create_call(admin, req)->put_user);
     return 0;
 }
 
 static int
 put_drain(struct sas_admin *admin, h2o_req_t *req)
 {
-    if (admin->parts.read_only) {
+    if (admin->options.read_only) {
         return refuse_change(req);
     }
-    const struct sas_model *model = admin->parts.model;
+    const struct sas_model *model = admin->options.model;
     struct sas_put put = {0};
-    const char *target = SasServer_GetParameter(req, "target");
+    const char *target = SasH2oServer_GetParameter(req, "target");
     if (target == NULL || read_put_headers(admin, req, &put) != 0) {
         return target == NULL
                    ? answer_reason(req, 400, "bad-request", "target=NAME")
                    : 0;
     }
-    SasConfigure_Resolve(admin->parts.configure);
+    SasConfigStore_RefreshModel(admin->options.config_store);
     put.drain_kind = SAS_DRAIN_BACKEND;
     put.drain_target = SasModel_FindBackend(model, target);
     if (put.drain_target == SasModel_NONE) {
@@ -315,8 +316,8 @@
         return answer_reason(req, 404, "not-found",
                              "no backend server or entry VM of this name");
     }
-    SasConfigure_Put(admin->parts.configure, &put,
-                     &create_call(admin, req)->put_user);
+    SasConfigStore_Put(admin->options.config_store, &put,
+                       &create_call(admin, req)->put_user);
     return 0;
 }
 
@@ -326,15 +327,15 @@
 get_sheet(struct sas_admin *admin, h2o_req_t *req)
 {
     const struct sas_config *config =
-        SasConfigure_GetCurrent(admin->parts.configure);
+        SasConfigStore_GetCurrent(admin->options.config_store);
     if (config == NULL) {
         return answer_reason(req, 404, "not-found", "no sheet is in force");
     }
     char etag[32];
     snprintf(etag, sizeof(etag), "\"%" G_GINT64_FORMAT "\"", config->number);
-    SasServer_AddHeader(req, "etag", etag);
-    SasServer_Answer(req, 200, "text/csv", config->sheet_text,
-                     strlen(config->sheet_text));
+    SasH2oServer_AddHeader(req, "etag", etag);
+    SasH2oServer_Answer(req, 200, "text/csv", config->sheet_text,
+                        strlen(config->sheet_text));
     return 0;
 }
 
@@ -360,7 +361,7 @@
 }
 
 static void
-on_history(struct sas_history_user *user, const json_t *history)
+on_history(struct sas_history_listener *user, const json_t *history)
 {
     struct admin_call *call =
         (struct admin_call *)((char *)user -
@@ -393,21 +394,23 @@
         call->is_operation = true;
         g_strlcpy(call->operation, operation, sizeof(call->operation));
     }
-    SasConfigure_ReadHistory(admin->parts.configure, &call->history_user);
+    SasConfigStore_ReadHistory(admin->options.config_store,
+                               &call->history_user);
     return 0;
 }
 
 static int
 get_status(struct sas_admin *admin, h2o_req_t *req)
 {
-    const struct sas_admin_parts *parts = &admin->parts;
-    struct sas_admin_view *view = parts->view;
+    const struct sas_admin_options *options = &admin->options;
+    struct sas_admin_view *view = options->view;
     json_t *status = view->describe(view);
-    json_object_set_new(status, "vm", json_string(parts->vm));
+    json_object_set_new(status, "vm", json_string(options->vm));
     json_object_set_new(status, "ready", json_boolean(view->is_ready(view)));
     json_object_set_new(status, "version",
                         json_integer(view->get_version(view)));
-    json_object_set_new(status, "time_ms", json_integer(parts->get_wall_ms()));
+    json_object_set_new(status, "time_ms",
+                        json_integer(options->get_wall_ms()));
     answer_json(req, 200, status);
     return 0;
 }
@@ -415,7 +418,7 @@
 static int
 get_health(struct sas_admin *admin, h2o_req_t *req)
 {
-    bool ready = admin->parts.view->is_ready(admin->parts.view);
+    bool ready = admin->options.view->is_ready(admin->options.view);
     answer_json(req, ready ? 200 : 503,
                 json_pack("{s:b}", "ready", (int)ready));
     return 0;
@@ -424,27 +427,27 @@
 static int
 get_metrics(struct sas_admin *admin, h2o_req_t *req)
 {
-    g_autofree char *text = SasMetrics_Format(admin->parts.metrics);
-    SasServer_Answer(req, 200, "text/plain; version=0.0.4", text,
-                     strlen(text));
+    g_autofree char *text = SasMetrics_Format(admin->options.metrics);
+    SasH2oServer_Answer(req, 200, "text/plain; version=0.0.4", text,
+                        strlen(text));
     return 0;
 }
 
 static int
-handle(struct sas_server_handler *handler, h2o_req_t *req)
+handle(struct sas_h2o_server_handler *handler, h2o_req_t *req)
 {
     struct sas_admin *admin = handler->data;
-    const char *method = SasServer_CopyText(req, req->method);
+    const char *method = SasH2oServer_CopyText(req, req->method);
     size_t length = req->query_at == SIZE_MAX ? req->path.len : req->query_at;
     const char *path =
-        SasServer_CopyText(req, h2o_iovec_init(req->path.base, length));
+        SasH2oServer_CopyText(req, h2o_iovec_init(req->path.base, length));
     bool is_get = strcmp(method, "GET") == 0;
     if (is_get && strcmp(path, "/v1/health") == 0) {
         return get_health(admin, req);
     }
     if (!is_authorized(admin, req)) {
-        SasMetrics_Add(admin->parts.metrics, admin->unauthorized, 1);
-        SasServer_AddHeader(req, "www-authenticate", "Bearer");
+        SasMetrics_Add(admin->options.metrics, admin->unauthorized, 1);
+        SasH2oServer_AddHeader(req, "www-authenticate", "Bearer");
         return answer_reason(req, 401, "unauthorized",
                              "a bearer token is needed");
     }
--- a/packages/node/src/admin.h
+++ b/packages/node/src/admin.h
@@ -6,9 +6,9 @@
 #ifndef SAS_ADMIN_H
 #define SAS_ADMIN_H
 
-#include "configure.h"
-#include "reasons.h"
-#include "server.h"
+#include "config_store.h"
+#include "refusal.h"
+#include "h2o_server.h"
 
 struct sas_admin;
 
@@ -20,19 +20,19 @@
     json_t *(*describe)(struct sas_admin_view *view);
 };
 
-struct sas_admin_parts {
+struct sas_admin_options {
     uv_loop_t *loop;
     const char *vm; /* the own name */
     const struct sas_model *model;
     struct sas_metrics *metrics;
-    struct sas_configure *configure;
+    struct sas_config_store *config_store;
     struct sas_admin_view *view;
     const char *token; /* that operators show; NULL: none is asked for */
     bool read_only;    /* nothing may be changed by this port */
     int64_t (*get_wall_ms)(void);
 };
 
-struct sas_admin *SasAdmin_Open(const struct sas_admin_parts *parts,
+struct sas_admin *SasAdmin_Open(const struct sas_admin_options *options,
                                 const struct sas_address *address,
                                 struct sas_error *error);
 void SasAdmin_Close(struct sas_admin *admin);
--- a/packages/node/src/caller.c
+++ b/packages/node/src/caller.c
@@ -11,8 +11,8 @@
 #define RETRY_AFTER_S 1
 
 struct sas_caller {
-    struct sas_caller_parts parts;
-    struct sas_server *server;
+    struct sas_caller_options options;
+    struct sas_h2o_server *server;
     GList *exchanges; /* of struct exchange */
     uv_timer_t sweep;
     bool stopping;
@@ -29,37 +29,42 @@
     struct sas_forward_call *call; /* NULL once it has ended */
     GString *sending;              /* with h2o until it asks for more */
     GString *pending;
-    bool begun;  /* the answer's head was passed to h2o */
-    bool busy;   /* h2o has the bytes in sending */
-    bool over;   /* no more bytes will come */
-    bool broken; /* over, but not whole */
+    bool started;  /* the answer's head was passed to h2o */
+    bool h2o_busy; /* h2o has the bytes in sending */
+    bool ended;    /* no more bytes will come */
+    bool aborted;  /* over, but not whole */
     bool paused;
     bool gone;
 };
 
 static const struct sas_forward_reply_vtable reply_vtable;
-static int handle_request(struct sas_server_handler *handler, h2o_req_t *req);
-static int handle_lookup(struct sas_server_handler *handler, h2o_req_t *req);
-static int handle_health(struct sas_server_handler *handler, h2o_req_t *req);
+static int handle_request(struct sas_h2o_server_handler *handler,
+                          h2o_req_t *req);
+static int handle_lookup(struct sas_h2o_server_handler *handler,
+                         h2o_req_t *req);
+static int handle_health(struct sas_h2o_server_handler *handler,
+                         h2o_req_t *req);
 static void on_sweep(uv_timer_t *timer);
 
 struct sas_caller *
-SasCaller_Open(const struct sas_caller_parts *parts,
+SasCaller_Open(const struct sas_caller_options *options,
                const struct sas_address *address, struct sas_error *error)
 {
     struct sas_caller *caller = g_new0(struct sas_caller, 1);
-    caller->parts = *parts;
-    caller->server = SasServer_Open(parts->loop, &parts->limits);
-    SasServer_RegisterCounters(caller->server, parts->counters->metrics,
-                               "caller");
-    SasServer_AddHandler(caller->server, "/s", handle_request, caller);
-    SasServer_AddHandler(caller->server, "/v1/lookup", handle_lookup, caller);
-    SasServer_AddHandler(caller->server, "/v1/health", handle_health, caller);
-    uv_timer_init(parts->loop, &caller->sweep);
+    caller->options = *options;
+    caller->server = SasH2oServer_Open(options->loop, &options->limits);
+    SasH2oServer_RegisterCounters(caller->server, options->counters->metrics,
+                                  "caller");
+    SasH2oServer_AddHandler(caller->server, "/s", handle_request, caller);
+    SasH2oServer_AddHandler(caller->server, "/v1/lookup", handle_lookup,
+                            caller);
+    SasH2oServer_AddHandler(caller->server, "/v1/health", handle_health,
+                            caller);
+    uv_timer_init(options->loop, &caller->sweep);
     caller->sweep.data = caller;
     uv_timer_start(&caller->sweep, on_sweep, SasCaller_SWEEP_MS,
                    SasCaller_SWEEP_MS);
-    if (SasServer_Listen(caller->server, address, error) != 0) {
+    if (SasH2oServer_Listen(caller->server, address, error) != 0) {
         SasCaller_Close(caller);
         return NULL;
     }
@@ -70,7 +75,7 @@
 SasCaller_Close(struct sas_caller *caller)
 {
     uv_close((uv_handle_t *)&caller->sweep, NULL);
-    SasServer_Close(caller->server);
+    SasH2oServer_Close(caller->server);
 }
 
 void
@@ -93,17 +98,17 @@
     /* h2o hands a request over when its body is whole. A stop that counted
      * only those would break the connection of an upload half way. */
     return MAX((int)g_list_length(caller->exchanges),
-               SasServer_CountRequests(caller->server));
+               SasH2oServer_CountRequests(caller->server));
 }
 
 bool
 SasCaller_End(struct sas_caller *caller)
 {
-    SasServer_StopListening(caller->server);
-    if (SasServer_CountClosing(caller->server) > 0) {
+    SasH2oServer_StopListening(caller->server);
+    if (SasH2oServer_CountLingering(caller->server) > 0) {
         return false;
     }
-    SasServer_StopReading(caller->server);
+    SasH2oServer_StopReading(caller->server);
     return true;
 }
 
@@ -117,29 +122,29 @@
     char body[160];
     int size = snprintf(
         body, sizeof(body), "{\"reason\":\"%s\",\"outcome\":\"%s\"}\n",
-        SasReasons_GetName(reason), SasReasons_GetOutcomeName(outcome));
-    SasServer_AddHeader(req, "sas-outcome",
-                        SasReasons_GetOutcomeName(outcome));
-    SasServer_AddHeader(req, "sas-reason", SasReasons_GetName(reason));
+        SasRefusal_GetName(reason), SasRefusal_GetOutcomeName(outcome));
+    SasH2oServer_AddHeader(req, "sas-outcome",
+                           SasRefusal_GetOutcomeName(outcome));
+    SasH2oServer_AddHeader(req, "sas-reason", SasRefusal_GetName(reason));
     if (retry_after_s > 0) {
         char seconds[16];
         snprintf(seconds, sizeof(seconds), "%d", retry_after_s);
-        SasServer_AddHeader(req, "retry-after", seconds);
+        SasH2oServer_AddHeader(req, "retry-after", seconds);
     }
     if (caller->stopping) {
-        SasServer_EndAfter(caller->server, req);
+        SasH2oServer_CloseAfterAnswer(caller->server, req);
     }
-    SasServer_Answer(req, SasReasons_GetStatus(reason), "application/json",
-                     body, (size_t)size);
+    SasH2oServer_Answer(req, SasRefusal_GetStatus(reason), "application/json",
+                        body, (size_t)size);
 }
 
 static int
 refuse_early(struct sas_caller *caller, h2o_req_t *req,
              enum sas_refusal reason)
 {
-    const struct sas_counters *counters = caller->parts.counters;
+    const struct sas_counters *counters = caller->options.counters;
     SasMetrics_Add(counters->metrics, counters->refusals[reason], 1);
-    bool later = SasReasons_GetStatus(reason) == 503;
+    bool later = SasRefusal_GetStatus(reason) == 503;
     answer_refusal(caller, req, reason, SAS_OUTCOME_NOT_RUN,
                    later ? RETRY_AFTER_S : 0);
     return 0;
@@ -150,10 +155,10 @@
 static void
 send_next(struct exchange *exchange)
 {
-    if (exchange->busy || exchange->req == NULL) {
+    if (exchange->h2o_busy || exchange->req == NULL) {
         return;
     }
-    if (exchange->pending->len == 0 && !exchange->over) {
+    if (exchange->pending->len == 0 && !exchange->ended) {
         return;
     }
     GString *full = exchange->pending;
@@ -161,10 +166,11 @@
     exchange->sending = full;
     g_string_truncate(exchange->pending, 0);
     h2o_send_state_t state = H2O_SEND_STATE_IN_PROGRESS;
-    if (exchange->over) {
-        state = exchange->broken ? H2O_SEND_STATE_ERROR : H2O_SEND_STATE_FINAL;
+    if (exchange->ended) {
+        state =
+            exchange->aborted ? H2O_SEND_STATE_ERROR : H2O_SEND_STATE_FINAL;
     }
-    exchange->busy = true;
+    exchange->h2o_busy = true;
     h2o_iovec_t buffer =
         h2o_iovec_init(exchange->sending->str, exchange->sending->len);
     h2o_send(exchange->req, &buffer, buffer.len > 0 ? 1 : 0, state);
@@ -177,7 +183,7 @@
     struct exchange *exchange =
         (struct exchange *)((char *)generator -
                             offsetof(struct exchange, generator));
-    exchange->busy = false;
+    exchange->h2o_busy = false;
     if (exchange->paused && exchange->pending->len <= SasForward_PENDING_LOW) {
         exchange->paused = false;
         if (exchange->call != NULL) {
@@ -195,7 +201,7 @@
     struct exchange *exchange =
         (struct exchange *)((char *)generator -
                             offsetof(struct exchange, generator));
-    exchange->busy = true;
+    exchange->h2o_busy = true;
     if (exchange->call != NULL) {
         struct sas_forward_call *call = exchange->call;
         exchange->call = NULL;
@@ -223,8 +229,8 @@
 {
     struct exchange *exchange = (struct exchange *)reply;
     exchange->call = NULL;
-    exchange->over = true;
-    exchange->begun = true;
+    exchange->ended = true;
+    exchange->started = true;
     answer_refusal(exchange->caller, exchange->req, reason, outcome,
                    retry_after_s);
 }
@@ -238,25 +244,25 @@
     req->res.status = answer->status;
     req->res.reason = SasHttp_GetReason(answer->status);
     for (int i = 0; i < answer->header_count; i++) {
-        SasServer_AddHeader(req, answer->headers[i].name,
-                            answer->headers[i].value);
+        SasH2oServer_AddHeader(req, answer->headers[i].name,
+                               answer->headers[i].value);
     }
     if (answer->backend != NULL) {
-        SasServer_AddHeader(req, "sas-backend", answer->backend);
-        SasServer_AddHeader(req, "sas-region", answer->region);
+        SasH2oServer_AddHeader(req, "sas-backend", answer->backend);
+        SasH2oServer_AddHeader(req, "sas-region", answer->region);
     }
     else {
-        SasServer_AddHeader(req, "sas-replayed", "1");
+        SasH2oServer_AddHeader(req, "sas-replayed", "1");
     }
     if (answer->length >= 0) {
         req->res.content_length = (size_t)answer->length;
     }
     if (exchange->caller->stopping) {
-        SasServer_EndAfter(exchange->caller->server, req);
+        SasH2oServer_CloseAfterAnswer(exchange->caller->server, req);
     }
     exchange->generator.proceed = on_proceed;
     exchange->generator.stop = on_stop;
-    exchange->begun = true;
+    exchange->started = true;
     h2o_start_response(req, &exchange->generator);
 }
 
@@ -278,7 +284,7 @@
 {
     struct exchange *exchange = (struct exchange *)reply;
     exchange->call = NULL;
-    exchange->over = true;
+    exchange->ended = true;
     send_next(exchange);
 }
 
@@ -287,8 +293,8 @@
 {
     struct exchange *exchange = (struct exchange *)reply;
     exchange->call = NULL;
-    exchange->over = true;
-    exchange->broken = true;
+    exchange->ended = true;
+    exchange->aborted = true;
     exchange->req->http1_is_persistent = 0;
     send_next(exchange);
 }
@@ -303,11 +309,11 @@
 
 /* Before any part of an answer is out. */
 static void
-abandon(struct exchange *exchange, enum sas_refusal reason)
+fail_exchange(struct exchange *exchange, enum sas_refusal reason)
 {
     struct sas_forward_call *call = exchange->call;
     exchange->call = NULL;
-    exchange->begun = true;
+    exchange->started = true;
     SasForward_Cancel(call);
     exchange->req->http1_is_persistent = 0;
     answer_refusal(exchange->caller, exchange->req, reason,
@@ -315,14 +321,14 @@
 }
 
 void
-SasCaller_Abandon(struct sas_caller *caller)
+SasCaller_FailPending(struct sas_caller *caller)
 {
     GList *link = caller->exchanges;
     while (link != NULL) {
         struct exchange *exchange = link->data;
         link = link->next;
-        if (!exchange->begun) {
-            abandon(exchange, SAS_REFUSE_LOST);
+        if (!exchange->started) {
+            fail_exchange(exchange, SAS_REFUSE_LOST);
         }
     }
 }
@@ -338,8 +344,8 @@
     while (link != NULL) {
         struct exchange *exchange = link->data;
         link = link->next;
-        if (!exchange->begun && SasServer_IsGone(exchange->req)) {
-            abandon(exchange, SAS_REFUSE_CALLER_GONE);
+        if (!exchange->started && SasH2oServer_IsGone(exchange->req)) {
+            fail_exchange(exchange, SAS_REFUSE_CALLER_GONE);
         }
     }
 }
@@ -368,7 +374,7 @@
 static const char *
 get_route(h2o_req_t *req, const struct sas_model *model, int service)
 {
-    char *path = SasServer_CopyText(req, req->path_normalized);
+    char *path = SasH2oServer_CopyText(req, req->path_normalized);
     const char *route = NULL;
     if (find_service(model, path, &route) != service) {
         return NULL;
@@ -400,7 +406,7 @@
 static bool
 is_read(h2o_req_t *req)
 {
-    const char *method = SasServer_CopyText(req, req->method);
+    const char *method = SasH2oServer_CopyText(req, req->method);
     return strcmp(method, "GET") == 0 || strcmp(method, "HEAD") == 0;
 }
 
@@ -437,7 +443,7 @@
 read_headers(h2o_req_t *req, const struct sas_service *service,
              struct sas_forward_request *request, const char *ip)
 {
-    const char *deadline = SasServer_GetHeader(req, "sas-deadline-ms");
+    const char *deadline = SasH2oServer_GetHeader(req, "sas-deadline-ms");
     request->deadline_ms = service->deadline_ms;
     if (deadline != NULL) {
         char *end = NULL;
@@ -446,11 +452,11 @@
             return false;
         }
     }
-    request->key = SasServer_GetHeader(req, "idempotency-key");
+    request->key = SasH2oServer_GetHeader(req, "idempotency-key");
     if (request->key != NULL && !is_visible_text(request->key, 128)) {
         return false;
     }
-    const char *identity = SasServer_GetHeader(req, "sas-caller");
+    const char *identity = SasH2oServer_GetHeader(req, "sas-caller");
     if (identity != NULL && !is_visible_text(identity, 128)) {
         return false;
     }
@@ -482,28 +488,28 @@
 }
 
 static int
-handle_request(struct sas_server_handler *handler, h2o_req_t *req)
+handle_request(struct sas_h2o_server_handler *handler, h2o_req_t *req)
 {
     struct sas_caller *caller = handler->data;
-    const struct sas_model *model = caller->parts.model;
+    const struct sas_model *model = caller->options.model;
     if (caller->refusing_since != 0 &&
         get_begin_us(req) > caller->refusing_since) {
         return refuse_early(caller, req, SAS_REFUSE_STOPPING);
     }
     const char *target = NULL;
     struct sas_forward_request request = {0};
-    char *path = SasServer_CopyText(req, req->path);
+    char *path = SasH2oServer_CopyText(req, req->path);
     request.service = find_service(model, path, &target);
     if (request.service == SasModel_NONE) {
         return refuse_early(caller, req, SAS_REFUSE_UNKNOWN_SERVICE);
     }
-    request.method = SasServer_CopyText(req, req->method);
+    request.method = SasH2oServer_CopyText(req, req->method);
     if (!is_known_method(request.method)) {
         return refuse_early(caller, req, SAS_REFUSE_METHOD);
     }
     request.route = get_route(req, model, request.service);
     char ip[SasModel_IP_SIZE];
-    request.caller_ip = SasServer_GetCallerIp(req, ip, sizeof(ip));
+    request.caller_ip = SasH2oServer_GetCallerIp(req, ip, sizeof(ip));
     if (request.route == NULL || is_head_too_large(req) ||
         !read_headers(req, &model->services[request.service], &request, ip)) {
         return refuse_early(caller, req, SAS_REFUSE_BAD_REQUEST);
@@ -515,15 +521,15 @@
         &req->pool, sizeof(*headers) * (req->headers.size + 1));
     for (size_t i = 0; i < req->headers.size; i++) {
         h2o_header_t *header = &req->headers.entries[i];
-        headers[i].name = SasServer_CopyText(req, *header->name);
-        headers[i].value = SasServer_CopyText(req, header->value);
+        headers[i].name = SasH2oServer_CopyText(req, *header->name);
+        headers[i].value = SasH2oServer_CopyText(req, header->value);
     }
     request.headers = headers;
     request.header_count = (int)req->headers.size;
     struct exchange *exchange = create_exchange(caller, req);
     struct sas_forward_call *call =
-        SasForward_Begin(caller->parts.forward, &request, &exchange->reply);
-    if (!exchange->over) {
+        SasForward_Begin(caller->options.forward, &request, &exchange->reply);
+    if (!exchange->ended) {
         exchange->call = call;
     }
     return 0;
@@ -543,17 +549,17 @@
 }
 
 static int
-handle_lookup(struct sas_server_handler *handler, h2o_req_t *req)
+handle_lookup(struct sas_h2o_server_handler *handler, h2o_req_t *req)
 {
     struct sas_caller *caller = handler->data;
-    const struct sas_model *model = caller->parts.model;
-    const struct sas_counters *counters = caller->parts.counters;
+    const struct sas_model *model = caller->options.model;
+    const struct sas_counters *counters = caller->options.counters;
     if (!is_read(req)) {
         return refuse_early(caller, req, SAS_REFUSE_METHOD);
     }
     char ip[SasModel_IP_SIZE];
-    uint32_t caller_ip = SasServer_GetCallerIp(req, ip, sizeof(ip));
-    const char *other = SasServer_GetParameter(req, "address");
+    uint32_t caller_ip = SasH2oServer_GetCallerIp(req, ip, sizeof(ip));
+    const char *other = SasH2oServer_GetParameter(req, "address");
     struct in_addr address;
     if (other != NULL) {
         if (inet_pton(AF_INET, other, &address) != 1) {
@@ -561,15 +567,15 @@
         }
         caller_ip = ntohl(address.s_addr);
     }
-    const char *name = SasServer_GetParameter(req, "service");
+    const char *name = SasH2oServer_GetParameter(req, "service");
     int service =
         name != NULL ? SasModel_FindService(model, name) : SasModel_NONE;
     if (service == SasModel_NONE) {
         return refuse_early(caller, req, SAS_REFUSE_UNKNOWN_SERVICE);
     }
-    struct sas_steer_lookup result;
-    if (SasSteer_Lookup(caller->parts.steer, service, caller_ip, &result) !=
-        0) {
+    struct sas_router_lookup result;
+    if (SasRouter_Lookup(caller->options.router, service, caller_ip,
+                         &result) != 0) {
         return refuse_early(caller, req, SAS_REFUSE_NO_CONFIG);
     }
     SasMetrics_Add(counters->metrics, counters->lookups, 1);
@@ -582,21 +588,22 @@
                                "version", (json_int_t)result.version,
                                "lifetime_s", result.lifetime_s, "vms", vms);
     char *text = json_dumps(answer, JSON_COMPACT);
-    SasServer_Answer(req, 200, "application/json", text, strlen(text));
+    SasH2oServer_Answer(req, 200, "application/json", text, strlen(text));
     free(text);
     json_decref(answer);
     return 0;
 }
 
 static int
-handle_health(struct sas_server_handler *handler, h2o_req_t *req)
+handle_health(struct sas_h2o_server_handler *handler, h2o_req_t *req)
 {
     struct sas_caller *caller = handler->data;
     if (!is_read(req)) {
         return refuse_early(caller, req, SAS_REFUSE_METHOD);
     }
-    int64_t version = SasSteer_GetVersion(caller->parts.steer);
-    bool ready = SasSteer_IsReady(caller->parts.steer) && !caller->stopping;
+    int64_t version = SasRouter_GetVersion(caller->options.router);
+    bool ready =
+        SasRouter_IsReady(caller->options.router) && !caller->stopping;
     char body[96];
     int size = snprintf(
         body, sizeof(body),
@@ -604,9 +611,9 @@
         ready ? "true" : "false", caller->stopping ? "true" : "false",
         version);
     if (!ready) {
-        SasServer_AddHeader(req, "retry-after", "1");
+        SasH2oServer_AddHeader(req, "retry-after", "1");
     }
-    SasServer_Answer(req, ready ? 200 : 503, "application/json", body,
-                     (size_t)size);
+    SasH2oServer_Answer(req, ready ? 200 : 503, "application/json", body,
+                        (size_t)size);
     return 0;
 }
--- a/packages/node/src/caller.h
+++ b/packages/node/src/caller.h
@@ -4,21 +4,21 @@
 #define SAS_CALLER_H
 
 #include "forward.h"
-#include "server.h"
-#include "steer.h"
+#include "h2o_server.h"
+#include "router.h"
 
 struct sas_caller;
 
-struct sas_caller_parts {
+struct sas_caller_options {
     uv_loop_t *loop;
     const struct sas_model *model;
     const struct sas_counters *counters;
-    struct sas_steer *steer;
+    struct sas_router *router;
     struct sas_forward *forward;
-    struct sas_server_limits limits;
+    struct sas_h2o_server_limits limits;
 };
 
-struct sas_caller *SasCaller_Open(const struct sas_caller_parts *parts,
+struct sas_caller *SasCaller_Open(const struct sas_caller_options *options,
                                   const struct sas_address *address,
                                   struct sas_error *error);
 void SasCaller_Close(struct sas_caller *caller);
@@ -35,7 +35,7 @@
 
 /* At a stop's limit: requests without an answer are ended, and their callers
  * told that they may have run. The answers need a turn of the loop. */
-void SasCaller_Abandon(struct sas_caller *caller);
+void SasCaller_FailPending(struct sas_caller *caller);
 
 /* While none is active: takes no new connection. True once the last answers
  * have been left to their callers; from then on nothing more is read. */
--- a/packages/node/src/claims.c
+++ b/packages/node/src/claims.c
@@ -19,11 +19,11 @@
 struct sas_claims_claim {
     struct sas_store_call call; /* first: the store's callback */
     struct sas_claims *claims;
-    struct sas_claims_user *user; /* NULL once it has its answer */
+    struct sas_claims_listener *listener; /* NULL once it has its answer */
     struct sas_claim core;
-    struct sas_claim_step step; /* the one in progress */
-    struct sas_claim_row found; /* as read last */
-    bool has_found;
+    struct sas_claim_step step;  /* the one in progress */
+    struct sas_claim_row stored; /* as read last */
+    bool has_stored;
     bool sent;
     bool reading_object; /* of the answer that is to be replayed */
     uv_timer_t pause;
@@ -57,8 +57,8 @@
 free_claim(struct sas_claims_claim *claim)
 {
     claim->claims->active = g_list_remove(claim->claims->active, claim);
-    if (claim->has_found) {
-        SasClaim_FreeRow(&claim->found);
+    if (claim->has_stored) {
+        SasClaim_FreeRow(&claim->stored);
     }
     SasClaim_Free(&claim->core);
     uv_close((uv_handle_t *)&claim->pause, on_pause_closed);
@@ -93,7 +93,7 @@
 
 struct sas_claims_claim *
 SasClaims_Begin(struct sas_claims *claims, const struct sas_claims_key *key,
-                struct sas_claims_user *user)
+                struct sas_claims_listener *listener)
 {
     struct sas_claims_claim *claim = g_new0(struct sas_claims_claim, 1);
     char digest[SasClaim_HASH_SIZE];
@@ -105,13 +105,13 @@
     if (SasClaim_Init(&claim->core, key->service, key->caller, key->key,
                       digest, token, &error) != 0) {
         g_free(claim);
-        user->vtable->on_refuse(user, SAS_REFUSE_BAD_REQUEST,
-                                SAS_OUTCOME_NOT_RUN);
+        listener->vtable->on_refuse(listener, SAS_REFUSE_BAD_REQUEST,
+                                    SAS_OUTCOME_NOT_RUN);
         return NULL;
     }
     claim->call.on_result = on_result;
     claim->claims = claims;
-    claim->user = user;
+    claim->listener = listener;
     uv_timer_init(claims->loop, &claim->pause);
     claim->pause.data = claim;
     claims->active = g_list_prepend(claims->active, claim);
@@ -143,9 +143,9 @@
 }
 
 void
-SasClaims_Lose(struct sas_claims_claim *claim)
+SasClaims_LeaveHeld(struct sas_claims_claim *claim)
 {
-    claim->user = NULL;
+    claim->listener = NULL;
     do_step(claim,
             SasClaim_Handle(&claim->core, SAS_CLAIM_ANSWER_LOST, NULL, NULL));
 }
@@ -153,7 +153,7 @@
 void
 SasClaims_Release(struct sas_claims_claim *claim)
 {
-    claim->user = NULL;
+    claim->listener = NULL;
     struct sas_claim_step step = {.action = SAS_CLAIM_SEND};
     if (claim->sent) {
         /* Not run there: the claim is as before the first byte. */
@@ -191,30 +191,30 @@
 static void
 replay(struct sas_claims_claim *claim, const char *body, size_t body_size)
 {
-    struct sas_claims_user *user = claim->user;
+    struct sas_claims_listener *listener = claim->listener;
     g_autofree char *lines =
-        g_strdup(claim->found.headers != NULL ? claim->found.headers : "");
+        g_strdup(claim->stored.headers != NULL ? claim->stored.headers : "");
     g_autoptr(GArray) headers = split_headers(lines);
-    claim->user = NULL;
-    user->vtable->on_replay(user, claim->found.status,
-                            (const struct sas_http_header *)headers->data,
-                            (int)headers->len, body, body_size);
+    claim->listener = NULL;
+    listener->vtable->on_replay(listener, claim->stored.status,
+                                (const struct sas_http_header *)headers->data,
+                                (int)headers->len, body, body_size);
 }
 
 static void
 refuse(struct sas_claims_claim *claim, enum sas_refusal reason,
        enum sas_outcome outcome)
 {
-    struct sas_claims_user *user = claim->user;
-    claim->user = NULL;
-    user->vtable->on_refuse(user, reason, outcome);
+    struct sas_claims_listener *listener = claim->listener;
+    claim->listener = NULL;
+    listener->vtable->on_refuse(listener, reason, outcome);
 }
 
 static void
-give_answer(struct sas_claims_claim *claim, enum sas_claim_answer answer)
+answer_caller(struct sas_claims_claim *claim, enum sas_claim_answer answer)
 {
-    struct sas_claims_user *user = claim->user;
-    if (user == NULL) {
+    struct sas_claims_listener *listener = claim->listener;
+    if (listener == NULL) {
         return;
     }
     switch (answer) {
@@ -230,15 +230,16 @@
         refuse(claim, SAS_REFUSE_CLAIM_LOST, SAS_OUTCOME_RAN);
         return;
     case SAS_CLAIM_PASS:
-        claim->user = NULL;
-        user->vtable->on_finished(user);
+        claim->listener = NULL;
+        listener->vtable->on_finished(listener);
         return;
     case SAS_CLAIM_REPLAY:
-        if (claim->found.object != NULL) {
+        if (claim->stored.object != NULL) {
             claim->reading_object = true;
             return; /* do_action() reads it first */
         }
-        replay(claim, (const char *)claim->found.body, claim->found.body_size);
+        replay(claim, (const char *)claim->stored.body,
+               claim->stored.body_size);
         return;
     case SAS_CLAIM_OTHER_BODY:
         refuse(claim, SAS_REFUSE_KEY_REUSED, SAS_OUTCOME_NOT_RUN);
@@ -263,7 +264,7 @@
     if (step.action != SAS_CLAIM_WAIT) {
         claim->step = step;
     }
-    give_answer(claim, step.answer);
+    answer_caller(claim, step.answer);
     if (step.action == SAS_CLAIM_WAIT) {
         return;
     }
@@ -304,8 +305,8 @@
                       &claim->call);
         return;
     case SAS_CLAIM_SEND:
-        if (claim->user != NULL) {
-            claim->user->vtable->on_proceed(claim->user);
+        if (claim->listener != NULL) {
+            claim->listener->vtable->on_proceed(claim->listener);
         }
         return;
     case SAS_CLAIM_WRITE_OBJECT:
@@ -315,7 +316,7 @@
         return;
     case SAS_CLAIM_FINISH:
         if (claim->reading_object) {
-            SasStore_Read(store, SAS_STORE_OBJECT, claim->found.object,
+            SasStore_Read(store, SAS_STORE_OBJECT, claim->stored.object,
                           &claim->call);
             return;
         }
@@ -352,8 +353,8 @@
 }
 
 static void
-take_read(struct sas_claims_claim *claim,
-          const struct sas_store_result *result)
+apply_read(struct sas_claims_claim *claim,
+           const struct sas_store_result *result)
 {
     enum sas_claim_event event = SAS_CLAIM_READ_FAILED;
     struct sas_error error = {0};
@@ -361,32 +362,33 @@
         event = SAS_CLAIM_ROW_ABSENT;
     }
     else if (result->status == SAS_STORE_OK) {
-        if (claim->has_found) {
-            SasClaim_FreeRow(&claim->found);
+        if (claim->has_stored) {
+            SasClaim_FreeRow(&claim->stored);
         }
-        claim->has_found =
-            SasClaim_DecodeRow(result->value, &claim->found, &error) == 0;
-        event = claim->has_found ? SAS_CLAIM_ROW_FOUND : SAS_CLAIM_READ_FAILED;
+        claim->has_stored =
+            SasClaim_DecodeRow(result->value, &claim->stored, &error) == 0;
+        event =
+            claim->has_stored ? SAS_CLAIM_ROW_FOUND : SAS_CLAIM_READ_FAILED;
     }
     if (error.code != SAS_OK) {
         SasLog_WriteError(SasLog_ERROR, &error);
     }
     do_step(claim, SasClaim_Handle(
                        &claim->core, event,
-                       event == SAS_CLAIM_ROW_FOUND ? &claim->found : NULL,
+                       event == SAS_CLAIM_ROW_FOUND ? &claim->stored : NULL,
                        event == SAS_CLAIM_ROW_FOUND ? result->etag : NULL));
 }
 
 /* The kept body of the first answer has come, or can't be had. */
 static void
-take_object(struct sas_claims_claim *claim,
-            const struct sas_store_result *result)
+replay_object(struct sas_claims_claim *claim,
+              const struct sas_store_result *result)
 {
     claim->reading_object = false;
-    if (claim->user != NULL && result->status == SAS_STORE_OK) {
+    if (claim->listener != NULL && result->status == SAS_STORE_OK) {
         replay(claim, result->value, result->size);
     }
-    else if (claim->user != NULL) {
+    else if (claim->listener != NULL) {
         refuse(claim, SAS_REFUSE_CLAIM_LOST, SAS_OUTCOME_RAN);
     }
     free_claim(claim);
@@ -397,11 +399,11 @@
 {
     struct sas_claims_claim *claim = (struct sas_claims_claim *)call;
     if (claim->reading_object) {
-        take_object(claim, result);
+        replay_object(claim, result);
         return;
     }
     if (claim->step.action == SAS_CLAIM_READ) {
-        take_read(claim, result);
+        apply_read(claim, result);
         return;
     }
     enum sas_claim_event event =
--- a/packages/node/src/claims.h
+++ b/packages/node/src/claims.h
@@ -8,7 +8,7 @@
 #ifndef SAS_CLAIMS_H
 #define SAS_CLAIMS_H
 
-#include "reasons.h"
+#include "refusal.h"
 #include "sas/http.h"
 #include "sas/store.h"
 
@@ -17,23 +17,23 @@
 struct sas_claims;
 struct sas_claims_claim;
 
-struct sas_claims_user;
+struct sas_claims_listener;
 
 struct sas_claims_vtable {
     /* The claim is ours; the request may be sent. */
-    void (*on_proceed)(struct sas_claims_user *user);
+    void (*on_proceed)(struct sas_claims_listener *listener);
     /* The request ran before; this is its first answer. */
-    void (*on_replay)(struct sas_claims_user *user, int status,
+    void (*on_replay)(struct sas_claims_listener *listener, int status,
                       const struct sas_http_header *headers, int header_count,
                       const char *body, size_t body_size);
-    void (*on_refuse)(struct sas_claims_user *user, enum sas_refusal reason,
-                      enum sas_outcome outcome);
+    void (*on_refuse)(struct sas_claims_listener *listener,
+                      enum sas_refusal reason, enum sas_outcome outcome);
     /* After Finish: the answer is kept, or can't be; it may be passed on. */
-    void (*on_finished)(struct sas_claims_user *user);
+    void (*on_finished)(struct sas_claims_listener *listener);
 };
 
 /* The user embeds it as first member. */
-struct sas_claims_user {
+struct sas_claims_listener {
     const struct sas_claims_vtable *vtable;
 };
 
@@ -57,7 +57,7 @@
 
 struct sas_claims_claim *SasClaims_Begin(struct sas_claims *claims,
                                          const struct sas_claims_key *key,
-                                         struct sas_claims_user *user);
+                                         struct sas_claims_listener *listener);
 
 /* The first byte is about to leave. */
 void SasClaims_MarkSent(struct sas_claims_claim *claim);
@@ -68,7 +68,7 @@
                       const char *body, size_t body_size);
 
 /* Sent, but no whole answer: the row stays, no other run may follow. */
-void SasClaims_Lose(struct sas_claims_claim *claim);
+void SasClaims_LeaveHeld(struct sas_claims_claim *claim);
 
 /* Nothing was run: the row goes, a resend may run. */
 void SasClaims_Release(struct sas_claims_claim *claim);
--- a/packages/node/src/configure.c
+++ b/packages/node/src/config_store.c
@@ -1,4 +1,4 @@
-#include "configure.h"
+#include "config_store.h"
 
 #include <inttypes.h>
 #include <stdio.h>
@@ -14,29 +14,29 @@
 #define HISTORY_LENGTH 64
 #define MIN_POLL_MS 1000
 /* All nodes together use a tenth of the store's reads. */
-#define POLLS_PER_SECOND 100
-#define PUT_LIMIT_MS 6000
+#define TOTAL_POLLS_PER_S 100
+#define PUT_TIMEOUT_MS 6000
 #define PUT_PAUSE_MS 200
 #define DIGEST_SIZE 17
 
 /* Reads the head, then the object it names. */
 struct poll {
     struct sas_store_call call; /* first: the store's callback */
-    struct sas_configure *configure;
+    struct sas_config_store *config_store;
     bool running;
     json_t *head;
 };
 
 struct list_poll {
     struct sas_store_call call;
-    struct sas_configure *configure;
+    struct sas_config_store *config_store;
     bool running;
 };
 
-struct sas_configure {
-    struct sas_configure_parts parts;
+struct sas_config_store {
+    struct sas_config_store_options options;
     struct sas_config *current;
-    bool known;
+    bool head_known;
     struct poll poll;
     struct list_poll list_poll;
     uv_timer_t timer;
@@ -52,8 +52,8 @@
 
 struct put {
     struct sas_store_call call; /* first: the store's callback */
-    struct sas_configure *configure;
-    struct sas_put_user *user;
+    struct sas_config_store *config_store;
+    struct sas_put_listener *listener;
     uv_timer_t pause;
     enum put_step step;
     char *sheet;
@@ -72,7 +72,7 @@
 
 struct history_read {
     struct sas_store_call call;
-    struct sas_history_user *user;
+    struct sas_history_listener *listener;
 };
 
 static void on_timer(uv_timer_t *timer);
@@ -82,19 +82,19 @@
                           const struct sas_store_result *result);
 static void read_head(struct put *put);
 
-struct sas_configure *
-SasConfigure_Open(const struct sas_configure_parts *parts)
+struct sas_config_store *
+SasConfigStore_Open(const struct sas_config_store_options *options)
 {
-    struct sas_configure *configure = g_new0(struct sas_configure, 1);
-    configure->parts = *parts;
-    configure->poll.configure = configure;
-    configure->list_poll.configure = configure;
-    uv_timer_init(parts->loop, &configure->timer);
-    configure->timer.data = configure;
-    if (!parts->looks_when_told) {
-        uv_timer_start(&configure->timer, on_timer, 0, 0);
+    struct sas_config_store *config_store = g_new0(struct sas_config_store, 1);
+    config_store->options = *options;
+    config_store->poll.config_store = config_store;
+    config_store->list_poll.config_store = config_store;
+    uv_timer_init(options->loop, &config_store->timer);
+    config_store->timer.data = config_store;
+    if (!options->poll_on_demand) {
+        uv_timer_start(&config_store->timer, on_timer, 0, 0);
     }
-    return configure;
+    return config_store;
 }
 
 static void
@@ -106,7 +106,7 @@
 static void
 free_put(struct put *put)
 {
-    put->configure->puts = g_list_remove(put->configure->puts, put);
+    put->config_store->puts = g_list_remove(put->config_store->puts, put);
     json_decref(put->head);
     SasConfig_Unref(put->base);
     SasConfig_Unref(put->config);
@@ -117,51 +117,55 @@
 }
 
 void
-SasConfigure_Close(struct sas_configure *configure)
+SasConfigStore_Close(struct sas_config_store *config_store)
 {
-    while (configure->puts != NULL) {
-        free_put(configure->puts->data);
+    while (config_store->puts != NULL) {
+        free_put(config_store->puts->data);
     }
-    json_decref(configure->poll.head);
-    SasConfig_Unref(configure->current);
-    uv_close((uv_handle_t *)&configure->timer, on_timer_closed);
+    json_decref(config_store->poll.head);
+    SasConfig_Unref(config_store->current);
+    uv_close((uv_handle_t *)&config_store->timer, on_timer_closed);
 }
 
 struct sas_config *
-SasConfigure_GetCurrent(struct sas_configure *configure)
+SasConfigStore_GetCurrent(struct sas_config_store *config_store)
 {
-    return configure->current;
+    return config_store->current;
 }
 
 bool
-SasConfigure_Offer(struct sas_configure *configure, struct sas_config *config)
+SasConfigStore_AdoptIfNewer(struct sas_config_store *config_store,
+                            struct sas_config *config)
 {
     int64_t number =
-        configure->current != NULL ? configure->current->number : 0;
+        config_store->current != NULL ? config_store->current->number : 0;
     /* The store may answer with an old row, and a peer may be behind. Taking
      * a lower version would show as an accepted change that reverts; so
      * only a higher one is ever adopted, whoever offers it. */
     if (!SasConfig_MayReplace(number, config->number)) {
         return false;
     }
-    SasConfig_Unref(configure->current);
-    configure->current = SasConfig_Ref(config);
-    configure->known = true;
+    SasConfig_Unref(config_store->current);
+    config_store->current = SasConfig_Ref(config);
+    config_store->head_known = true;
     SasLog_Write(SasLog_INFO, "config.adopt", NULL,
                  "version %" G_GINT64_FORMAT " of operation %s is in force",
                  config->number, config->operation);
-    configure->parts.listener->on_config(configure->parts.listener, config);
+    config_store->options.listener->on_config(config_store->options.listener,
+                                              config);
     return true;
 }
 
 /* Polling the store. */
 
 static void
-tell_resolve(struct sas_configure *configure, const char *config, size_t size)
+notify_refresh(struct sas_config_store *config_store, const char *config,
+               size_t size)
 {
-    struct sas_configure_listener *listener = configure->parts.listener;
-    if (listener->on_resolve != NULL) {
-        listener->on_resolve(listener, config, size);
+    struct sas_config_store_listener *listener =
+        config_store->options.listener;
+    if (listener->on_refresh_model != NULL) {
+        listener->on_refresh_model(listener, config, size);
     }
 }
 
@@ -169,21 +173,21 @@
 on_object(struct sas_store_call *call, const struct sas_store_result *result)
 {
     struct poll *poll = (struct poll *)call;
-    struct sas_configure *configure = poll->configure;
+    struct sas_config_store *config_store = poll->config_store;
     poll->running = false;
     g_clear_pointer(&poll->head, json_decref);
     if (result->status != SAS_STORE_OK) {
         return;
     }
     struct sas_error error = {0};
-    tell_resolve(configure, result->value, result->size);
+    notify_refresh(config_store, result->value, result->size);
     struct sas_config *config = SasConfig_Decode(
-        configure->parts.model, result->value, result->size, &error);
+        config_store->options.model, result->value, result->size, &error);
     if (config == NULL) {
         SasLog_WriteError(SasLog_ERROR, &error);
         return;
     }
-    SasConfigure_Offer(configure, config);
+    SasConfigStore_AdoptIfNewer(config_store, config);
     SasConfig_Unref(config);
 }
 
@@ -191,13 +195,13 @@
 on_head(struct sas_store_call *call, const struct sas_store_result *result)
 {
     struct poll *poll = (struct poll *)call;
-    struct sas_configure *configure = poll->configure;
+    struct sas_config_store *config_store = poll->config_store;
     poll->running = false;
     if (result->status == SAS_STORE_NOT_FOUND) {
-        if (!configure->known) {
-            configure->known = true;
-            configure->parts.listener->on_config(configure->parts.listener,
-                                                 NULL);
+        if (!config_store->head_known) {
+            config_store->head_known = true;
+            config_store->options.listener->on_config(
+                config_store->options.listener, NULL);
         }
         return;
     }
@@ -209,7 +213,7 @@
     int64_t version = json_integer_value(json_object_get(head, "version"));
     const char *object = json_string_value(json_object_get(head, "object"));
     int64_t current =
-        configure->current != NULL ? configure->current->number : 0;
+        config_store->current != NULL ? config_store->current->number : 0;
     if (object == NULL || !SasConfig_MayReplace(current, version)) {
         json_decref(head);
         return;
@@ -217,7 +221,7 @@
     poll->running = true;
     poll->head = head;
     poll->call.on_result = on_object;
-    SasStore_Read(configure->parts.store, SAS_STORE_OBJECT, object,
+    SasStore_Read(config_store->options.store, SAS_STORE_OBJECT, object,
                   &poll->call);
 }
 
@@ -225,7 +229,8 @@
 on_vm_list(struct sas_store_call *call, const struct sas_store_result *result)
 {
     struct list_poll *poll = (struct list_poll *)call;
-    struct sas_configure_listener *listener = poll->configure->parts.listener;
+    struct sas_config_store_listener *listener =
+        poll->config_store->options.listener;
     poll->running = false;
     if (result->status != SAS_STORE_OK) {
         return;
@@ -238,43 +243,43 @@
 }
 
 void
-SasConfigure_Look(struct sas_configure *configure)
+SasConfigStore_Poll(struct sas_config_store *config_store)
 {
-    if (configure->poll.running) {
+    if (config_store->poll.running) {
         return;
     }
-    configure->poll.running = true;
-    configure->poll.call.on_result = on_head;
-    SasStore_Read(configure->parts.store, SAS_STORE_TABLE, HEAD_KEY,
-                  &configure->poll.call);
+    config_store->poll.running = true;
+    config_store->poll.call.on_result = on_head;
+    SasStore_Read(config_store->options.store, SAS_STORE_TABLE, HEAD_KEY,
+                  &config_store->poll.call);
 }
 
 void
-SasConfigure_Resolve(struct sas_configure *configure)
+SasConfigStore_RefreshModel(struct sas_config_store *config_store)
 {
-    tell_resolve(configure, NULL, 0);
+    notify_refresh(config_store, NULL, 0);
 }
 
 bool
-SasConfigure_IsIdle(const struct sas_configure *configure)
+SasConfigStore_IsIdle(const struct sas_config_store *config_store)
 {
-    return configure->puts == NULL;
+    return config_store->puts == NULL;
 }
 
 static void
 on_timer(uv_timer_t *timer)
 {
-    struct sas_configure *configure = timer->data;
-    const struct sas_configure_parts *parts = &configure->parts;
-    int64_t interval = MAX(MIN_POLL_MS, (int64_t)parts->model->vm_count *
-                                            1000 / POLLS_PER_SECOND);
-    double jitter = g_rand_double_range(parts->random, 0.75, 1.25);
+    struct sas_config_store *config_store = timer->data;
+    const struct sas_config_store_options *options = &config_store->options;
+    int64_t interval = MAX(MIN_POLL_MS, (int64_t)options->model->vm_count *
+                                            1000 / TOTAL_POLLS_PER_S);
+    double jitter = g_rand_double_range(options->random, 0.75, 1.25);
     uv_timer_start(timer, on_timer, (uint64_t)((double)interval * jitter), 0);
-    SasConfigure_Look(configure);
-    if (!configure->list_poll.running && configure->ticks++ % 2 == 0) {
-        configure->list_poll.running = true;
-        configure->list_poll.call.on_result = on_vm_list;
-        SasStore_ReadVms(parts->store, &configure->list_poll.call);
+    SasConfigStore_Poll(config_store);
+    if (!config_store->list_poll.running && config_store->ticks++ % 2 == 0) {
+        config_store->list_poll.running = true;
+        config_store->list_poll.call.on_result = on_vm_list;
+        SasStore_ReadVms(options->store, &config_store->list_poll.call);
     }
 }
 
@@ -283,17 +288,17 @@
 static void
 end_put(struct put *put, struct sas_put_answer *answer)
 {
-    struct sas_put_user *user = put->user;
+    struct sas_put_listener *listener = put->listener;
     if (answer->operation[0] == '\0') {
         g_strlcpy(answer->operation, put->operation,
                   sizeof(answer->operation));
     }
     free_put(put);
-    user->on_answer(user, answer);
+    listener->on_answer(listener, answer);
 }
 
 static void
-end_put_unsettled(struct put *put)
+end_put_unresolved(struct put *put)
 {
     struct sas_put_answer answer = {
         .result = put->uncertain ? SAS_PUT_UNKNOWN : SAS_PUT_UNAVAILABLE,
@@ -315,9 +320,9 @@
  * version in force. The same operation put through another node has another
  * object, with other resolved times. */
 static void
-adopt_own(struct put *put)
+adopt_written(struct put *put)
 {
-    SasConfigure_Offer(put->configure, put->config);
+    SasConfigStore_AdoptIfNewer(put->config_store, put->config);
 }
 
 static void
@@ -383,8 +388,9 @@
 {
     char digest[DIGEST_SIZE];
     format_request_digest(put, digest, sizeof(digest));
-    const char *known = json_string_value(json_object_get(row, "digest"));
-    if (known == NULL || strcmp(known, digest) != 0) {
+    const char *stored_digest =
+        json_string_value(json_object_get(row, "digest"));
+    if (stored_digest == NULL || strcmp(stored_digest, digest) != 0) {
         struct sas_sheet_error error = {0};
         g_strlcpy(error.reason,
                   "the operation id was used for another request",
@@ -396,7 +402,7 @@
         json_string_value(json_object_get(put->head, "object"));
     if (object != NULL && put->object_key != NULL &&
         strcmp(object, put->object_key) == 0) {
-        adopt_own(put);
+        adopt_written(put);
     }
     end_put_done(put, json_integer_value(json_object_get(row, "version")));
 }
@@ -406,11 +412,12 @@
 build_from_sheet(const struct put *put, int64_t number,
                  struct sas_sheet_error *place, struct sas_error *error)
 {
-    const struct sas_configure_parts *parts = &put->configure->parts;
+    const struct sas_config_store_options *options =
+        &put->config_store->options;
     struct sas_sheet sheet = {0};
-    int64_t now = parts->get_wall_ms();
-    if (SasSheet_Parse(&sheet, parts->model, put->sheet, put->sheet_size, now,
-                       parts->utc_offset_s, place) != 0) {
+    int64_t now = options->get_wall_ms();
+    if (SasSheet_Parse(&sheet, options->model, put->sheet, put->sheet_size,
+                       now, options->utc_offset_s, place) != 0) {
         return NULL;
     }
     g_autofree char *text = g_strndup(put->sheet, put->sheet_size);
@@ -426,32 +433,35 @@
 build_from_drain(const struct put *put, int64_t number,
                  struct sas_error *error)
 {
-    const struct sas_configure_parts *parts = &put->configure->parts;
-    const struct sas_model *model = parts->model;
+    const struct sas_config_store_options *options =
+        &put->config_store->options;
+    const struct sas_model *model = options->model;
     int target = put->request.drain_target;
     const char *name = put->request.drain_kind == SAS_DRAIN_VM
                            ? model->vms[target].name
                            : model->backends[target].name;
     return SasConfig_AddDrain(put->base, model, name, number, put->operation,
-                              put->operator_name, parts->get_wall_ms(), error);
+                              put->operator_name, options->get_wall_ms(),
+                              error);
 }
 
 static int
 check_size(const struct put *put, struct sas_sheet_error *place)
 {
-    const struct sas_configure_parts *parts = &put->configure->parts;
-    if (parts->max_object == 0) {
+    const struct sas_config_store_options *options =
+        &put->config_store->options;
+    if (options->max_object == 0) {
         return 0;
     }
-    char *text = SasConfig_Encode(put->config, parts->model);
+    char *text = SasConfig_Encode(put->config, options->model);
     size_t size = strlen(text);
     free(text);
-    if (size <= parts->max_object) {
+    if (size <= options->max_object) {
         return 0;
     }
     snprintf(place->reason, sizeof(place->reason),
              "the version has %zu bytes; the store takes %zu at a time", size,
-             parts->max_object);
+             options->max_object);
     return -1;
 }
 
@@ -460,7 +470,7 @@
 build_config(struct put *put, int64_t base_version,
              struct sas_sheet_error *place)
 {
-    const struct sas_model *model = put->configure->parts.model;
+    const struct sas_model *model = put->config_store->options.model;
     struct sas_error error = {0};
     int64_t number = base_version + 1;
     SasConfig_Unref(put->config);
@@ -510,14 +520,15 @@
 static void
 write_object(struct put *put)
 {
-    const struct sas_configure_parts *parts = &put->configure->parts;
+    const struct sas_config_store_options *options =
+        &put->config_store->options;
     g_free(put->object_key);
-    char *text = SasConfig_Encode(put->config, parts->model);
+    char *text = SasConfig_Encode(put->config, options->model);
     put->object_key = g_strdup_printf(
         "config/%" G_GINT64_FORMAT "-%s-%016" PRIx64, put->config->number,
         put->config->operation, XXH3_64bits(text, strlen(text)));
     put->step = PUT_WRITE_OBJECT;
-    SasStore_Write(parts->store, SAS_STORE_OBJECT, put->object_key, text,
+    SasStore_Write(options->store, SAS_STORE_OBJECT, put->object_key, text,
                    strlen(text), SAS_STORE_ABSENT, NULL, &put->call);
     free(text);
 }
@@ -527,7 +538,7 @@
 {
     g_autofree char *text = encode_head(put);
     put->step = PUT_WRITE_HEAD;
-    SasStore_Write(put->configure->parts.store, SAS_STORE_TABLE, HEAD_KEY,
+    SasStore_Write(put->config_store->options.store, SAS_STORE_TABLE, HEAD_KEY,
                    text, strlen(text),
                    put->etag[0] == '\0' ? SAS_STORE_ABSENT : SAS_STORE_MATCH,
                    put->etag, &put->call);
@@ -542,9 +553,9 @@
 static void
 read_head_later(struct put *put)
 {
-    int64_t now = (int64_t)uv_now(put->configure->parts.loop);
-    if (now - put->started_at > PUT_LIMIT_MS) {
-        end_put_unsettled(put);
+    int64_t now = (int64_t)uv_now(put->config_store->options.loop);
+    if (now - put->started_at > PUT_TIMEOUT_MS) {
+        end_put_unresolved(put);
         return;
     }
     uv_timer_start(&put->pause, on_pause_over, PUT_PAUSE_MS, 0);
@@ -554,7 +565,7 @@
 read_head(struct put *put)
 {
     put->step = PUT_READ_HEAD;
-    SasStore_Read(put->configure->parts.store, SAS_STORE_TABLE, HEAD_KEY,
+    SasStore_Read(put->config_store->options.store, SAS_STORE_TABLE, HEAD_KEY,
                   &put->call);
 }
 
@@ -562,7 +573,7 @@
 static void
 decide_by_head(struct put *put, const struct sas_store_result *result)
 {
-    struct sas_configure *configure = put->configure;
+    struct sas_config_store *config_store = put->config_store;
     json_decref(put->head);
     put->head = result->status == SAS_STORE_OK
                     ? json_loadb(result->value, result->size, 0, NULL)
@@ -589,14 +600,15 @@
     }
     /* A drain keeps the rows in force, so it needs that very version. */
     int64_t current =
-        configure->current != NULL ? configure->current->number : 0;
+        config_store->current != NULL ? config_store->current->number : 0;
     if (put->sheet == NULL && current != version) {
         read_head_later(put);
         return;
     }
-    SasConfigure_Resolve(configure);
-    put->base =
-        configure->current != NULL ? SasConfig_Ref(configure->current) : NULL;
+    SasConfigStore_RefreshModel(config_store);
+    put->base = config_store->current != NULL
+                    ? SasConfig_Ref(config_store->current)
+                    : NULL;
     struct sas_sheet_error error = {0};
     if (build_config(put, version, &error) != 0) {
         end_put_bad_sheet(put, &error);
@@ -618,11 +630,11 @@
               const struct sas_store_result *result)
 {
     struct put *put = (struct put *)call;
-    bool unsure = result->status == SAS_STORE_UNKNOWN ||
-                  result->status == SAS_STORE_UNAVAILABLE;
+    bool unconfirmed = result->status == SAS_STORE_UNKNOWN ||
+                       result->status == SAS_STORE_UNAVAILABLE;
     switch (put->step) {
     case PUT_READ_HEAD:
-        if (unsure) {
+        if (unconfirmed) {
             read_head_later(put);
             return;
         }
@@ -630,7 +642,7 @@
         return;
     case PUT_WRITE_OBJECT:
         /* A conflict here: the object exists, from this same operation. */
-        if (unsure) {
+        if (unconfirmed) {
             read_head_later(put);
             return;
         }
@@ -638,7 +650,7 @@
         return;
     case PUT_WRITE_HEAD:
         if (result->status == SAS_STORE_OK) {
-            adopt_own(put);
+            adopt_written(put);
             end_put_done(put, put->config->number);
             return;
         }
@@ -649,24 +661,25 @@
 }
 
 void
-SasConfigure_Put(struct sas_configure *configure, const struct sas_put *put,
-                 struct sas_put_user *user)
+SasConfigStore_Put(struct sas_config_store *config_store,
+                   const struct sas_put *put,
+                   struct sas_put_listener *listener)
 {
     struct put *state = g_new0(struct put, 1);
     state->call.on_result = put_on_result;
-    state->configure = configure;
-    state->user = user;
+    state->config_store = config_store;
+    state->listener = listener;
     state->request = *put;
     state->sheet =
         put->sheet != NULL ? g_strndup(put->sheet, put->sheet_size) : NULL;
     state->sheet_size = put->sheet_size;
-    state->started_at = (int64_t)uv_now(configure->parts.loop);
+    state->started_at = (int64_t)uv_now(config_store->options.loop);
     g_strlcpy(state->operation, put->operation, sizeof(state->operation));
     g_strlcpy(state->operator_name, put->operator_name,
               sizeof(state->operator_name));
-    uv_timer_init(configure->parts.loop, &state->pause);
+    uv_timer_init(config_store->options.loop, &state->pause);
     state->pause.data = state;
-    configure->puts = g_list_prepend(configure->puts, state);
+    config_store->puts = g_list_prepend(config_store->puts, state);
     read_head(state);
 }
 
@@ -688,18 +701,18 @@
     else if (result->status == SAS_STORE_NOT_FOUND) {
         answer = json_pack("{s:[]}", "versions");
     }
-    read->user->on_history(read->user, answer);
+    read->listener->on_history(read->listener, answer);
     json_decref(answer);
     g_free(read);
 }
 
 void
-SasConfigure_ReadHistory(struct sas_configure *configure,
-                         struct sas_history_user *user)
+SasConfigStore_ReadHistory(struct sas_config_store *config_store,
+                           struct sas_history_listener *listener)
 {
     struct history_read *read = g_new0(struct history_read, 1);
     read->call.on_result = history_on_result;
-    read->user = user;
-    SasStore_Read(configure->parts.store, SAS_STORE_TABLE, HEAD_KEY,
+    read->listener = listener;
+    SasStore_Read(config_store->options.store, SAS_STORE_TABLE, HEAD_KEY,
                   &read->call);
 }
--- a/packages/node/src/configure.h
+++ b/packages/node/src/config_store.h
@@ -6,8 +6,8 @@
  * with their operation ids, so that a lost acknowledgement is settled by
  * reading back. A node adopts only higher versions, whoever offers them.
  */
-#ifndef SAS_CONFIGURE_H
-#define SAS_CONFIGURE_H
+#ifndef SAS_CONFIG_STORE_H
+#define SAS_CONFIG_STORE_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -19,33 +19,33 @@
 #include "sas/config.h"
 #include "sas/store.h"
 
-struct sas_configure;
+struct sas_config_store;
 
 /* Who is told; embedded as first member. */
-struct sas_configure_listener {
+struct sas_config_store_listener {
     /* A version was adopted; NULL: the store has none yet. */
-    void (*on_config)(struct sas_configure_listener *listener,
+    void (*on_config)(struct sas_config_store_listener *listener,
                       struct sas_config *config);
     /* The platform's list came, as JSON. */
-    void (*on_vms)(struct sas_configure_listener *listener,
+    void (*on_vms)(struct sas_config_store_listener *listener,
                    const json_t *list);
     /* Names are about to be resolved against the model: now it may change.
      * config: the version in JSON that is going to be decoded, or NULL. May
      * be NULL where the model never changes. */
-    void (*on_resolve)(struct sas_configure_listener *listener,
-                       const char *config, size_t size);
+    void (*on_refresh_model)(struct sas_config_store_listener *listener,
+                             const char *config, size_t size);
 };
 
-struct sas_configure_parts {
+struct sas_config_store_options {
     uv_loop_t *loop;
     const struct sas_model *model;
     struct sas_store *store;
-    struct sas_configure_listener *listener;
+    struct sas_config_store_listener *listener;
     GRand *random;
     int64_t utc_offset_s;
     int64_t (*get_wall_ms)(void);
-    bool looks_when_told; /* polls only by SasConfigure_Look */
-    size_t max_object;    /* bytes that the store takes; 0: any */
+    bool poll_on_demand; /* polls only by SasConfigStore_Poll */
+    size_t max_object;   /* bytes that the store takes; 0: any */
 };
 
 enum sas_put_result {
@@ -65,8 +65,8 @@
 };
 
 /* A put in progress; the caller embeds it as first member. */
-struct sas_put_user {
-    void (*on_answer)(struct sas_put_user *user,
+struct sas_put_listener {
+    void (*on_answer)(struct sas_put_listener *listener,
                       const struct sas_put_answer *answer);
 };
 
@@ -81,38 +81,41 @@
     bool dry_run;
 };
 
-struct sas_configure *
-SasConfigure_Open(const struct sas_configure_parts *parts);
-void SasConfigure_Close(struct sas_configure *configure);
+struct sas_config_store *
+SasConfigStore_Open(const struct sas_config_store_options *options);
+void SasConfigStore_Close(struct sas_config_store *config_store);
 
 /* The version in force here, or NULL. */
-struct sas_config *SasConfigure_GetCurrent(struct sas_configure *configure);
+struct sas_config *
+SasConfigStore_GetCurrent(struct sas_config_store *config_store);
 
 /* Reads the head of the store now, and what it names if that is newer. */
-void SasConfigure_Look(struct sas_configure *configure);
+void SasConfigStore_Poll(struct sas_config_store *config_store);
 
 /* Lets the model come up to date before names are looked up in it. */
-void SasConfigure_Resolve(struct sas_configure *configure);
+void SasConfigStore_RefreshModel(struct sas_config_store *config_store);
 
 /* No put is in progress, so that nothing but the version in force refers to
  * the model by handle. */
-bool SasConfigure_IsIdle(const struct sas_configure *configure);
+bool SasConfigStore_IsIdle(const struct sas_config_store *config_store);
 
 /* Takes over a version if it is higher; true when it was. */
-bool SasConfigure_Offer(struct sas_configure *configure,
-                        struct sas_config *config);
+bool SasConfigStore_AdoptIfNewer(struct sas_config_store *config_store,
+                                 struct sas_config *config);
 
 /* Puts a new version in force; the answer comes later, exactly once. */
-void SasConfigure_Put(struct sas_configure *configure,
-                      const struct sas_put *put, struct sas_put_user *user);
+void SasConfigStore_Put(struct sas_config_store *config_store,
+                        const struct sas_put *put,
+                        struct sas_put_listener *listener);
 
 /* The store's list of changes: {"versions":[...]}, newest last, or NULL
  * when the store can't be read. */
-struct sas_history_user {
-    void (*on_history)(struct sas_history_user *user, const json_t *history);
+struct sas_history_listener {
+    void (*on_history)(struct sas_history_listener *listener,
+                       const json_t *history);
 };
 
-void SasConfigure_ReadHistory(struct sas_configure *configure,
-                              struct sas_history_user *user);
+void SasConfigStore_ReadHistory(struct sas_config_store *config_store,
+                                struct sas_history_listener *listener);
 
 #endif
--- a/packages/node/src/forward.c
+++ b/packages/node/src/forward.c
@@ -11,7 +11,7 @@
 static void
 list_candidates(struct sas_forward *forward)
 {
-    const struct sas_model *model = forward->parts.model;
+    const struct sas_model *model = forward->options.model;
     int count = 0;
     forward->candidates = g_new0(int, model->backend_count);
     forward->candidate_starts = g_new0(int, model->service_count + 1);
@@ -26,18 +26,19 @@
 }
 
 struct sas_forward *
-SasForward_Open(const struct sas_forward_parts *parts)
+SasForward_Open(const struct sas_forward_options *options)
 {
     struct sas_forward *forward = g_new0(struct sas_forward, 1);
-    forward->parts = *parts;
-    forward->waiting = g_new0(GQueue, parts->model->service_count);
-    forward->retries = g_new0(struct sas_retry, parts->model->service_count);
-    for (int i = 0; i < parts->model->service_count; i++) {
+    forward->options = *options;
+    forward->waiting = g_new0(GQueue, options->model->service_count);
+    forward->retries = g_new0(struct sas_retry, options->model->service_count);
+    for (int i = 0; i < options->model->service_count; i++) {
         g_queue_init(&forward->waiting[i]);
-        SasRetry_Init(&forward->retries[i], (int64_t)uv_now(parts->loop));
-        forward->retries[i].share_percent = (int)(parts->retry_share * 100);
+        SasRetry_Init(&forward->retries[i], (int64_t)uv_now(options->loop));
+        forward->retries[i].share_percent = (int)(options->retry_share * 100);
     }
-    forward->paces = g_new0(struct pace, parts->model->service_count);
+    forward->service_times =
+        g_new0(struct service_time, options->model->service_count);
     list_candidates(forward);
     return forward;
 }
@@ -47,7 +48,7 @@
 {
     g_free(forward->waiting);
     g_free(forward->retries);
-    g_free(forward->paces);
+    g_free(forward->service_times);
     g_free(forward->candidates);
     g_free(forward->candidate_starts);
     g_free(forward);
@@ -71,18 +72,18 @@
                  const struct sas_forward_request *request,
                  struct sas_forward_reply *reply)
 {
-    const struct sas_forward_parts *parts = &forward->parts;
+    const struct sas_forward_options *options = &forward->options;
     struct sas_forward_call *call = g_new0(struct sas_forward_call, 1);
     forward->active++;
-    SasMetrics_Add(parts->counters->metrics, parts->counters->requests, 1);
+    SasMetrics_Add(options->counters->metrics, options->counters->requests, 1);
     call->forward = forward;
     call->reply = reply;
-    call->claims_user.vtable = &claims_vtable;
+    call->claims_listener.vtable = &claims_vtable;
     call->texts = g_string_chunk_new(1024);
     call->headers = g_array_new(FALSE, FALSE, sizeof(struct sas_http_header));
     call->answer_headers =
         g_array_new(FALSE, FALSE, sizeof(struct sas_http_header));
-    call->held = g_string_new(NULL);
+    call->buffered = g_string_new(NULL);
     call->request = *request;
     call->request.method = g_string_chunk_insert(call->texts, request->method);
     call->request.target = g_string_chunk_insert(call->texts, request->target);
@@ -90,17 +91,17 @@
     SasForwardCall_CopyHeaders(call, request->headers, request->header_count,
                                call->headers);
     /* Many servers take both spellings of a path for the same. */
-    call->once =
-        SasModel_IsOnceRoute(parts->model, request->service,
+    call->at_most_once =
+        SasModel_IsOnceRoute(options->model, request->service,
                              request->target) ||
-        SasModel_IsOnceRoute(parts->model, request->service, request->route);
-    call->idempotent = !call->once && is_idempotent(request->method);
+        SasModel_IsOnceRoute(options->model, request->service, request->route);
+    call->idempotent = !call->at_most_once && is_idempotent(request->method);
     call->query.service = request->service;
     call->query.caller_ip = request->caller_ip;
     call->query.bytes = (int64_t)request->body_size;
-    uv_timer_init(parts->loop, &call->timer);
+    uv_timer_init(options->loop, &call->timer);
     call->timer.data = call;
-    call->deadline_at = (int64_t)uv_now(parts->loop) +
+    call->deadline_at = (int64_t)uv_now(options->loop) +
                         MIN(request->deadline_ms, SasForward_MAX_DEADLINE_MS);
     call->fingerprint = SasQuarantine_GetFingerprint(
         request->method, request->target, request->body, request->body_size);
@@ -110,27 +111,27 @@
 
 /* Asks the guard; call->query.alone says whether it has to run alone. */
 enum sas_quarantine_verdict
-SasForwardCall_AskGuard(struct sas_forward_call *call, int *retry_after_s)
+SasForwardCall_CheckPoison(struct sas_forward_call *call, int *retry_after_s)
 {
-    enum sas_quarantine_verdict verdict = SasGuard_Check(
-        call->forward->parts.guard, call->fingerprint, retry_after_s);
+    enum sas_quarantine_verdict verdict = SasPoisonGuard_Check(
+        call->forward->options.poison_guard, call->fingerprint, retry_after_s);
     /* The trial that is under way is this call's own, and its first backend
      * server could not be reached. */
-    if (verdict == SAS_QUARANTINE_WAIT && call->in_trial) {
+    if (verdict == SAS_QUARANTINE_WAIT && call->isolated_run) {
         verdict = SAS_QUARANTINE_ALONE;
     }
-    call->query.alone = verdict == SAS_QUARANTINE_ALONE;
+    call->query.isolated = verdict == SAS_QUARANTINE_ALONE;
     call->query.fingerprint = call->fingerprint.low;
     return verdict;
 }
 
 /* True when the request may run, else it has been refused. */
 static bool
-check_guard(struct sas_forward_call *call)
+check_poison(struct sas_forward_call *call)
 {
     int retry_after_s = 0;
     enum sas_quarantine_verdict verdict =
-        SasForwardCall_AskGuard(call, &retry_after_s);
+        SasForwardCall_CheckPoison(call, &retry_after_s);
     if (verdict == SAS_QUARANTINE_WAIT) {
         SasForwardCall_Refuse(call, SAS_REFUSE_SUSPECT, SAS_OUTCOME_NOT_RUN,
                               retry_after_s);
@@ -149,16 +150,16 @@
 static void
 check_and_start(struct sas_forward_call *call)
 {
-    const struct sas_forward_parts *parts = &call->forward->parts;
-    if (call->once && call->request.key == NULL) {
+    const struct sas_forward_options *options = &call->forward->options;
+    if (call->at_most_once && call->request.key == NULL) {
         SasForwardCall_Refuse(call, SAS_REFUSE_KEY_MISSING,
                               SAS_OUTCOME_NOT_RUN, 0);
         return;
     }
-    if (!check_guard(call)) {
+    if (!check_poison(call)) {
         return;
     }
-    if (!call->once) {
+    if (!call->at_most_once) {
         SasForwardCall_Acquire(call);
         return;
     }
@@ -167,7 +168,7 @@
     call->own_body = g_memdup2(call->request.body, call->request.body_size);
     call->request.body = call->own_body;
     struct sas_claims_key key = {
-        .service = parts->model->services[call->request.service].name,
+        .service = options->model->services[call->request.service].name,
         .caller = call->request.caller,
         .key = g_string_chunk_insert(call->texts, call->request.key),
         .method = call->request.method,
@@ -176,7 +177,8 @@
         .body_size = call->request.body_size,
     };
     call->state = CALL_CLAIMING;
-    call->claim = SasClaims_Begin(parts->claims, &key, &call->claims_user);
+    call->claim =
+        SasClaims_Begin(options->claims, &key, &call->claims_listener);
 }
 
 /* Ending. */
@@ -188,7 +190,7 @@
     g_string_chunk_free(call->texts);
     g_array_free(call->headers, TRUE);
     g_array_free(call->answer_headers, TRUE);
-    g_string_free(call->held, TRUE);
+    g_string_free(call->buffered, TRUE);
     g_free(call->own_body);
     g_free(call);
 }
@@ -196,7 +198,7 @@
 void
 SasForwardCall_Finish(struct sas_forward_call *call)
 {
-    call->state = CALL_OVER;
+    call->state = CALL_ENDED;
     call->reply = NULL;
     call->forward->active--;
     uv_close((uv_handle_t *)&call->timer, on_timer_closed);
@@ -206,11 +208,11 @@
 SasForwardCall_Refuse(struct sas_forward_call *call, enum sas_refusal reason,
                       enum sas_outcome outcome, int retry_after_s)
 {
-    const struct sas_counters *counters = call->forward->parts.counters;
+    const struct sas_counters *counters = call->forward->options.counters;
     SasMetrics_Add(counters->metrics, counters->refusals[reason], 1);
     if (retry_after_s == SasForwardCall_RETRY_AFTER_S) {
-        retry_after_s = SasRetry_ChooseRetryAfter(retry_after_s,
-                                                  call->forward->parts.random);
+        retry_after_s = SasRetry_ChooseRetryAfter(
+            retry_after_s, call->forward->options.random);
     }
     /* One of several attempts may have run, whatever the last one says. */
     if (outcome == SAS_OUTCOME_NOT_RUN && call->may_have_run) {
@@ -223,7 +225,7 @@
             SasClaims_Release(claim);
         }
         else {
-            SasClaims_Lose(claim);
+            SasClaims_LeaveHeld(claim);
         }
     }
     struct sas_forward_reply *reply = call->reply;
@@ -236,11 +238,11 @@
 void
 SasForward_Cancel(struct sas_forward_call *call)
 {
-    const struct sas_counters *counters = call->forward->parts.counters;
+    const struct sas_counters *counters = call->forward->options.counters;
     call->reply = NULL;
     switch (call->state) {
     case CALL_CLAIMING:
-    case CALL_KEEPING:
+    case CALL_SAVING:
         return; /* goes on by itself and ends with nobody to tell */
     case CALL_WAITING:
         g_queue_remove(&call->forward->waiting[call->request.service], call);
@@ -248,17 +250,17 @@
                               SAS_OUTCOME_NOT_RUN, 0);
         return;
     case CALL_RUNNING:
-        if (call->once) {
+        if (call->at_most_once) {
             return;
         }
         SasMetrics_Add(counters->metrics,
                        counters->refusals[SAS_REFUSE_CALLER_GONE], 1);
         SasUpstream_Cancel(&call->attempt);
-        call->state = CALL_OVER;
+        call->state = CALL_ENDED;
         SasForwardCall_ReleaseGrant(call);
         SasForwardCall_Finish(call);
         return;
-    case CALL_OVER:
+    case CALL_ENDED:
         return;
     }
 }
@@ -288,17 +290,17 @@
 /* Claims. */
 
 static struct sas_forward_call *
-get_call(struct sas_claims_user *user)
+get_call(struct sas_claims_listener *listener)
 {
-    return (struct sas_forward_call *)((char *)user -
+    return (struct sas_forward_call *)((char *)listener -
                                        offsetof(struct sas_forward_call,
-                                                claims_user));
+                                                claims_listener));
 }
 
 static void
-claims_on_proceed(struct sas_claims_user *user)
+claims_on_proceed(struct sas_claims_listener *listener)
 {
-    struct sas_forward_call *call = get_call(user);
+    struct sas_forward_call *call = get_call(listener);
     if (call->reply == NULL) {
         SasForwardCall_Refuse(call, SAS_REFUSE_CALLER_GONE,
                               SAS_OUTCOME_NOT_RUN, 0);
@@ -320,25 +322,25 @@
         .region = region,
     };
     call->reply->vtable->on_head(call->reply, &answer);
-    if (call->held->len > 0) {
-        call->reply->vtable->on_body(call->reply, call->held->str,
-                                     call->held->len);
-        g_string_truncate(call->held, 0);
+    if (call->buffered->len > 0) {
+        call->reply->vtable->on_body(call->reply, call->buffered->str,
+                                     call->buffered->len);
+        g_string_truncate(call->buffered, 0);
     }
 }
 
 void
 SasForwardCall_PassAnswer(struct sas_forward_call *call)
 {
-    const struct sas_model *model = call->forward->parts.model;
+    const struct sas_model *model = call->forward->options.model;
     pass_answer(call, model->backends[call->grant.backend].name,
                 model->regions[call->grant.region].name);
 }
 
 void
-SasForwardCall_EndWhole(struct sas_forward_call *call)
+SasForwardCall_Complete(struct sas_forward_call *call)
 {
-    const struct sas_counters *counters = call->forward->parts.counters;
+    const struct sas_counters *counters = call->forward->options.counters;
     SasMetrics_Add(counters->metrics, counters->answers, 1);
     struct sas_forward_reply *reply = call->reply;
     SasForwardCall_Finish(call);
@@ -348,11 +350,11 @@
 }
 
 static void
-claims_on_replay(struct sas_claims_user *user, int status,
+claims_on_replay(struct sas_claims_listener *listener, int status,
                  const struct sas_http_header *headers, int header_count,
                  const char *body, size_t body_size)
 {
-    struct sas_forward_call *call = get_call(user);
+    struct sas_forward_call *call = get_call(listener);
     call->claim = NULL;
     if (call->reply == NULL) {
         SasForwardCall_Finish(call);
@@ -362,29 +364,29 @@
     call->answer_length = (int64_t)body_size;
     SasForwardCall_CopyHeaders(call, headers, header_count,
                                call->answer_headers);
-    g_string_append_len(call->held, body, (gssize)body_size);
+    g_string_append_len(call->buffered, body, (gssize)body_size);
     pass_answer(call, NULL, NULL);
-    SasForwardCall_EndWhole(call);
+    SasForwardCall_Complete(call);
 }
 
 static void
-claims_on_refuse(struct sas_claims_user *user, enum sas_refusal reason,
+claims_on_refuse(struct sas_claims_listener *listener, enum sas_refusal reason,
                  enum sas_outcome outcome)
 {
-    struct sas_forward_call *call = get_call(user);
+    struct sas_forward_call *call = get_call(listener);
     call->claim = NULL;
     SasForwardCall_Refuse(call, reason, outcome, SasForwardCall_RETRY_AFTER_S);
 }
 
 static void
-claims_on_finished(struct sas_claims_user *user)
+claims_on_finished(struct sas_claims_listener *listener)
 {
-    struct sas_forward_call *call = get_call(user);
+    struct sas_forward_call *call = get_call(listener);
     call->claim = NULL;
     if (call->reply != NULL) {
         SasForwardCall_PassAnswer(call);
     }
-    SasForwardCall_EndWhole(call);
+    SasForwardCall_Complete(call);
 }
 
 static const struct sas_claims_vtable claims_vtable = {
--- a/packages/node/src/forward.h
+++ b/packages/node/src/forward.h
@@ -8,14 +8,14 @@
 #define SAS_FORWARD_H
 
 #include "claims.h"
-#include "reasons.h"
+#include "refusal.h"
 #include "sas/http.h"
-#include "steer.h"
+#include "router.h"
 #include "upstream.h"
 
 struct sas_forward;
 struct sas_forward_call;
-struct sas_guard;
+struct sas_poison_guard;
 
 struct sas_forward_request {
     int service;
@@ -60,21 +60,21 @@
     const struct sas_forward_reply_vtable *vtable;
 };
 
-struct sas_forward_parts {
+struct sas_forward_options {
     uv_loop_t *loop;
     const struct sas_model *model;
     const struct sas_counters *counters;
-    struct sas_steer *steer;
+    struct sas_router *router;
     struct sas_upstream *upstream;
     struct sas_claims *claims;
-    struct sas_guard *guard;
+    struct sas_poison_guard *poison_guard;
     GRand *random;
     const char *id_prefix; /* of request ids; unique to this process */
     int64_t queue_wait_ms;
     double retry_share;
 };
 
-struct sas_forward *SasForward_Open(const struct sas_forward_parts *parts);
+struct sas_forward *SasForward_Open(const struct sas_forward_options *options);
 void SasForward_Close(struct sas_forward *forward);
 
 struct sas_forward_call *
--- a/packages/node/src/forward_attempt.c
+++ b/packages/node/src/forward_attempt.c
@@ -6,7 +6,7 @@
 #include "sas/metrics.h"
 
 #define OWN_HEADERS 2
-#define PACE_SAMPLES 32
+#define MEAN_SAMPLES 32
 
 static const struct sas_upstream_vtable attempt_vtable;
 static void on_timer(uv_timer_t *timer);
@@ -16,7 +16,7 @@
 static void
 arm_timer(struct sas_forward_call *call, int64_t at)
 {
-    int64_t now = (int64_t)uv_now(call->forward->parts.loop);
+    int64_t now = (int64_t)uv_now(call->forward->options.loop);
     uv_timer_start(&call->timer, on_timer, (uint64_t)MAX(at - now, 0), 0);
 }
 
@@ -24,10 +24,10 @@
 start_attempt(struct sas_forward_call *call)
 {
     struct sas_forward *forward = call->forward;
-    const struct sas_forward_parts *parts = &forward->parts;
-    int64_t now = (int64_t)uv_now(parts->loop);
+    const struct sas_forward_options *options = &forward->options;
+    int64_t now = (int64_t)uv_now(options->loop);
     call->state = CALL_RUNNING;
-    forward->paces[call->request.service].running++;
+    forward->service_times[call->request.service].running++;
     call->attempt_at = now;
     call->waiting_since = 0;
     call->answer_bytes = 0;
@@ -40,7 +40,7 @@
     char left[24];
     snprintf(left, sizeof(left), "%" G_GINT64_FORMAT, call->deadline_at - now);
     snprintf(call->attempt.request_id, sizeof(call->attempt.request_id),
-             "%s-%" G_GINT64_MODIFIER "x-%d", parts->id_prefix,
+             "%s-%" G_GINT64_MODIFIER "x-%d", options->id_prefix,
              forward->next_id++, call->attempts);
     guint count = call->headers->len;
     g_autofree struct sas_http_header *headers =
@@ -64,38 +64,40 @@
         SasClaims_MarkSent(call->claim);
     }
     if (call->grant.cross_region) {
-        SasMetrics_Add(parts->counters->metrics, parts->counters->cross_region,
-                       1);
+        SasMetrics_Add(options->counters->metrics,
+                       options->counters->cross_region, 1);
     }
-    SasUpstream_Send(parts->upstream, call->grant.backend, &request,
+    SasUpstream_Send(options->upstream, call->grant.backend, &request,
                      call->deadline_at - now,
-                     !call->idempotent || call->was_lost, &attempt_vtable,
-                     &call->attempt);
+                     !call->idempotent || call->needs_new_connection,
+                     &attempt_vtable, &call->attempt);
 }
 
 void
 SasForwardCall_ReleaseGrant(struct sas_forward_call *call)
 {
     struct sas_forward *forward = call->forward;
-    struct pace *pace = &forward->paces[call->request.service];
-    int64_t now = (int64_t)uv_now(forward->parts.loop);
-    pace->running--;
-    pace->elapsed_ms +=
-        ((double)(now - call->attempt_at) - pace->elapsed_ms) / PACE_SAMPLES;
-    SasSteer_Release(forward->parts.steer, call->request.service, &call->grant,
-                     call->answer_bytes);
+    struct service_time *service_time =
+        &forward->service_times[call->request.service];
+    int64_t now = (int64_t)uv_now(forward->options.loop);
+    service_time->running--;
+    service_time->mean_ms +=
+        ((double)(now - call->attempt_at) - service_time->mean_ms) /
+        MEAN_SAMPLES;
+    SasRouter_Release(forward->options.router, call->request.service,
+                      &call->grant, call->answer_bytes);
     SasForward_Wake(forward);
 }
 
 /* False when the call may run only alone and is running so elsewhere. */
 static bool
-begin_trial(struct sas_forward_call *call)
+begin_isolated_run(struct sas_forward_call *call)
 {
-    if (call->grant.alone && !call->in_trial) {
-        call->in_trial =
-            SasGuard_BeginTrial(call->forward->parts.guard, call->fingerprint,
-                                call->query.lasts_ms);
-        return call->in_trial;
+    if (call->grant.isolated && !call->isolated_run) {
+        call->isolated_run = SasPoisonGuard_BeginIsolatedRun(
+            call->forward->options.poison_guard, call->fingerprint,
+            call->query.max_run_ms);
+        return call->isolated_run;
     }
     return true;
 }
@@ -104,25 +106,25 @@
 static bool
 try_acquire(struct sas_forward_call *call)
 {
-    int64_t now = (int64_t)uv_now(call->forward->parts.loop);
-    call->query.lasts_ms = call->deadline_at - now;
+    int64_t now = (int64_t)uv_now(call->forward->options.loop);
+    call->query.max_run_ms = call->deadline_at - now;
     call->query.waited_ms =
         call->waiting_since > 0 ? now - call->waiting_since : 0;
     enum sas_refusal reason = SAS_REFUSE_NO_HEADROOM;
-    enum sas_steer_answer answer = SasSteer_Acquire(
-        call->forward->parts.steer, &call->query, &call->grant, &reason);
-    if (answer == SAS_STEER_GRANTED && !begin_trial(call)) {
-        SasSteer_Release(call->forward->parts.steer, call->request.service,
-                         &call->grant, 0);
+    enum sas_router_decision answer = SasRouter_Acquire(
+        call->forward->options.router, &call->query, &call->grant, &reason);
+    if (answer == SAS_ROUTER_GRANTED && !begin_isolated_run(call)) {
+        SasRouter_Release(call->forward->options.router, call->request.service,
+                          &call->grant, 0);
         SasForwardCall_Refuse(call, SAS_REFUSE_SUSPECT, SAS_OUTCOME_NOT_RUN,
                               SasForwardCall_RETRY_AFTER_S);
         return true;
     }
-    if (answer == SAS_STEER_GRANTED) {
+    if (answer == SAS_ROUTER_GRANTED) {
         start_attempt(call);
         return true;
     }
-    if (answer == SAS_STEER_REFUSED) {
+    if (answer == SAS_ROUTER_REFUSED) {
         SasForwardCall_Refuse(call, reason, SAS_OUTCOME_NOT_RUN,
                               SasForwardCall_RETRY_AFTER_S);
         return true;
@@ -133,31 +135,34 @@
 /* Whoever would wait longer than is allowed, by the pace of those before it,
  * is told so at once instead of after that wait. */
 static bool
-is_hopeless(const struct sas_forward_call *call)
+exceeds_queue_wait(const struct sas_forward_call *call)
 {
     const struct sas_forward *forward = call->forward;
-    const struct pace *pace = &forward->paces[call->request.service];
+    const struct service_time *service_time =
+        &forward->service_times[call->request.service];
     int ahead = (int)forward->waiting[call->request.service].length;
-    double wait_ms = (ahead + 1) * pace->elapsed_ms / MAX(pace->running, 1);
-    return pace->running > 0 && wait_ms > (double)forward->parts.queue_wait_ms;
+    double wait_ms =
+        (ahead + 1) * service_time->mean_ms / MAX(service_time->running, 1);
+    return service_time->running > 0 &&
+           wait_ms > (double)forward->options.queue_wait_ms;
 }
 
 void
 SasForwardCall_Acquire(struct sas_forward_call *call)
 {
     struct sas_forward *forward = call->forward;
-    int64_t now = (int64_t)uv_now(forward->parts.loop);
+    int64_t now = (int64_t)uv_now(forward->options.loop);
     GQueue *queue = &forward->waiting[call->request.service];
     if (now >= call->deadline_at) {
         SasForwardCall_Refuse(call, SAS_REFUSE_DEADLINE, SAS_OUTCOME_NOT_RUN,
                               SasForwardCall_RETRY_AFTER_S);
         return;
     }
-    bool others_first = !g_queue_is_empty(queue) && call->attempts == 0;
-    if (!others_first && try_acquire(call)) {
+    bool has_predecessors = !g_queue_is_empty(queue) && call->attempts == 0;
+    if (!has_predecessors && try_acquire(call)) {
         return;
     }
-    if (is_hopeless(call)) {
+    if (exceeds_queue_wait(call)) {
         SasForwardCall_Refuse(call, SAS_REFUSE_NO_HEADROOM,
                               SAS_OUTCOME_NOT_RUN,
                               SasForwardCall_RETRY_AFTER_S);
@@ -172,13 +177,13 @@
     call->waiting_since = now;
     g_queue_push_tail(queue, call);
     arm_timer(call,
-              MIN(call->deadline_at, now + forward->parts.queue_wait_ms));
+              MIN(call->deadline_at, now + forward->options.queue_wait_ms));
 }
 
 void
 SasForward_Wake(struct sas_forward *forward)
 {
-    for (int i = 0; i < forward->parts.model->service_count; i++) {
+    for (int i = 0; i < forward->options.model->service_count; i++) {
         GQueue *queue = &forward->waiting[i];
         while (!g_queue_is_empty(queue)) {
             struct sas_forward_call *call = g_queue_pop_head(queue);
@@ -194,7 +199,7 @@
 on_timer(uv_timer_t *timer)
 {
     struct sas_forward_call *call = timer->data;
-    int64_t now = (int64_t)uv_now(call->forward->parts.loop);
+    int64_t now = (int64_t)uv_now(call->forward->options.loop);
     if (call->state != CALL_WAITING) {
         return;
     }
@@ -212,9 +217,9 @@
           bool may_have_run)
 {
     struct sas_forward *forward = call->forward;
-    const struct sas_counters *counters = forward->parts.counters;
+    const struct sas_counters *counters = forward->options.counters;
     int service = call->request.service;
-    int64_t now = (int64_t)uv_now(forward->parts.loop);
+    int64_t now = (int64_t)uv_now(forward->options.loop);
     int start = forward->candidate_starts[service];
     enum sas_retry_verdict verdict =
         SasRetry_MayRetry(&forward->retries[service], reason, call->idempotent,
@@ -234,7 +239,7 @@
 static void
 note_tried(struct sas_forward_call *call)
 {
-    if (call->query.tried_count < SasSteer_MAX_TRIED) {
+    if (call->query.tried_count < SasRouter_MAX_TRIED) {
         call->query.tried[call->query.tried_count++] = call->grant.backend;
     }
 }
@@ -247,13 +252,13 @@
     bool may_have_run = outcome != SAS_OUTCOME_NOT_RUN;
     call->may_have_run |= may_have_run;
     /* What spoilt a kept connection may be on those to other servers too. */
-    call->was_lost |= why == SAS_RETRY_CUT;
+    call->needs_new_connection |= why == SAS_RETRY_CUT;
     note_tried(call);
-    g_string_truncate(call->held, 0);
+    g_string_truncate(call->buffered, 0);
     g_array_set_size(call->answer_headers, 0);
     int retry_after_s = 0;
     enum sas_quarantine_verdict verdict =
-        SasForwardCall_AskGuard(call, &retry_after_s);
+        SasForwardCall_CheckPoison(call, &retry_after_s);
     bool allowed =
         verdict == SAS_QUARANTINE_ALLOW || verdict == SAS_QUARANTINE_ALONE;
     if (call->reply == NULL || !allowed ||
@@ -308,10 +313,10 @@
     }
     /* The first bytes are held back, so that an answer which breaks early
      * can be asked for again without the caller seeing a part of it. */
-    g_string_append_len(call->held, data, (gssize)size);
+    g_string_append_len(call->buffered, data, (gssize)size);
     size_t limit =
-        call->once ? SasClaims_MAX_KEPT_BODY : SasForward_HOLD_BYTES;
-    if (call->held->len > limit && call->reply != NULL) {
+        call->at_most_once ? SasClaims_MAX_KEPT_BODY : SasForward_HOLD_BYTES;
+    if (call->buffered->len > limit && call->reply != NULL) {
         call->streaming = true;
         SasForwardCall_PassAnswer(call);
     }
@@ -320,14 +325,14 @@
 static void
 end_streaming(struct sas_forward_call *call, bool whole)
 {
-    const struct sas_counters *counters = call->forward->parts.counters;
+    const struct sas_counters *counters = call->forward->options.counters;
     if (call->claim != NULL) {
         struct sas_claims_claim *claim = call->claim;
         call->claim = NULL;
-        SasClaims_Lose(claim); /* ran, but too large to be kept */
+        SasClaims_LeaveHeld(claim); /* ran, but too large to be kept */
     }
     if (whole) {
-        SasForwardCall_EndWhole(call);
+        SasForwardCall_Complete(call);
         return;
     }
     SasMetrics_Add(counters->metrics, counters->aborted, 1);
@@ -342,13 +347,13 @@
 attempt_on_end(struct sas_upstream_call *attempt, bool whole)
 {
     struct sas_forward_call *call = (struct sas_forward_call *)attempt;
-    const struct sas_forward_parts *parts = &call->forward->parts;
-    if (call->grant.alone && !call->shed) {
-        SasGuard_NoteSurvived(parts->guard, call->fingerprint);
+    const struct sas_forward_options *options = &call->forward->options;
+    if (call->grant.isolated && !call->shed) {
+        SasPoisonGuard_NoteCompleted(options->poison_guard, call->fingerprint);
     }
     SasForwardCall_ReleaseGrant(call);
     if (call->shed) {
-        SasSteer_NoteShed(parts->steer, call->grant.backend);
+        SasRouter_NoteShed(options->router, call->grant.backend);
         retry_or_refuse(call, SAS_RETRY_SHED, SAS_REFUSE_SHED,
                         SAS_OUTCOME_NOT_RUN);
         return;
@@ -363,18 +368,19 @@
         return;
     }
     if (call->answer_length < 0) {
-        call->answer_length = (int64_t)call->held->len;
+        call->answer_length = (int64_t)call->buffered->len;
     }
     if (call->claim != NULL) {
-        call->state = CALL_KEEPING;
+        call->state = CALL_SAVING;
         SasClaims_Finish(
             call->claim, call->status,
             (const struct sas_http_header *)call->answer_headers->data,
-            (int)call->answer_headers->len, call->held->str, call->held->len);
+            (int)call->answer_headers->len, call->buffered->str,
+            call->buffered->len);
         return;
     }
     SasForwardCall_PassAnswer(call);
-    SasForwardCall_EndWhole(call);
+    SasForwardCall_Complete(call);
 }
 
 static void
@@ -382,11 +388,11 @@
                 const struct sas_http_failure *failure)
 {
     struct sas_forward_call *call = (struct sas_forward_call *)attempt;
-    const struct sas_forward_parts *parts = &call->forward->parts;
+    const struct sas_forward_options *options = &call->forward->options;
     bool lost = failure->sent && failure->error.code == SAS_EIO;
-    if (lost && !SasSteer_IsLeaving(parts->steer, call->grant.backend)) {
-        SasGuard_NoteLost(parts->guard, call->fingerprint, call->grant.backend,
-                          call->grant.alone);
+    if (lost && !SasRouter_IsLeaving(options->router, call->grant.backend)) {
+        SasPoisonGuard_NoteLost(options->poison_guard, call->fingerprint,
+                                call->grant.backend, call->grant.isolated);
     }
     SasForwardCall_ReleaseGrant(call);
     if (call->streaming) {
@@ -415,23 +421,23 @@
  * missing, only after half of the time is gone. What may not repeat waits
  * for its deadline: a second run would be worse than a late "unknown". */
 static void
-attempt_on_stall(struct sas_upstream_call *attempt, bool missing)
+attempt_on_stall(struct sas_upstream_call *attempt, bool unknown_to_server)
 {
     struct sas_forward_call *call = (struct sas_forward_call *)attempt;
-    const struct sas_forward_parts *parts = &call->forward->parts;
-    int64_t now = (int64_t)uv_now(parts->loop);
-    bool half_gone = now - call->attempt_at > call->deadline_at - now;
-    if (!call->idempotent || !(missing || half_gone) || call->reply == NULL ||
-        !may_retry(call, SAS_RETRY_STALL, true)) {
+    const struct sas_forward_options *options = &call->forward->options;
+    int64_t now = (int64_t)uv_now(options->loop);
+    bool half_elapsed = now - call->attempt_at > call->deadline_at - now;
+    if (!call->idempotent || !(unknown_to_server || half_elapsed) ||
+        call->reply == NULL || !may_retry(call, SAS_RETRY_STALL, true)) {
         return;
     }
     SasUpstream_Cancel(attempt);
     call->may_have_run = true;
-    call->was_lost = true;
+    call->needs_new_connection = true;
     SasForwardCall_ReleaseGrant(call);
     /* A silent connection is not the fault of its backend server, which may
      * be asked again over a new one; a slow one is not asked twice. */
-    if (!missing) {
+    if (!unknown_to_server) {
         note_tried(call);
     }
     SasForwardCall_Acquire(call);
--- a/packages/node/src/forward_call.h
+++ b/packages/node/src/forward_call.h
@@ -9,7 +9,7 @@
 #include <glib.h>
 
 #include "forward.h"
-#include "guard.h"
+#include "poison_guard.h"
 
 #define SasForwardCall_RETRY_AFTER_S 1
 
@@ -17,31 +17,31 @@
     CALL_CLAIMING, /* the store is asked for the claim */
     CALL_WAITING,  /* for a free slot */
     CALL_RUNNING,  /* an attempt is on its way */
-    CALL_KEEPING,  /* the store is keeping the outcome */
-    CALL_OVER
+    CALL_SAVING,   /* the store is keeping the outcome */
+    CALL_ENDED
 };
 
 /* How fast this node gets requests of a service done. */
-struct pace {
+struct service_time {
     int running;
-    double elapsed_ms; /* of an attempt, a moving average */
+    double mean_ms; /* of an attempt, a moving average */
 };
 
 struct sas_forward {
-    struct sas_forward_parts parts;
+    struct sas_forward_options options;
     GQueue *waiting; /* of struct sas_forward_call, one queue a service */
     int active;
     struct sas_retry *retries; /* by service */
     int *candidates;           /* backend servers, those of a service side
                                   by side */
     int *candidate_starts;     /* by service, and one more */
-    struct pace *paces;        /* by service */
+    struct service_time *service_times; /* by service */
     uint64_t next_id;
 };
 
 struct sas_forward_call {
     struct sas_upstream_call attempt; /* first: upstream's vtable */
-    struct sas_claims_user claims_user;
+    struct sas_claims_listener claims_listener;
     struct sas_forward *forward;
     struct sas_forward_reply *reply; /* NULL once the caller has gone */
     struct sas_forward_request request;
@@ -51,25 +51,26 @@
     GStringChunk *texts;
     GArray *headers; /* of struct sas_http_header, as sent on */
     char *own_body;  /* a copy that outlives the caller's, or NULL */
-    bool once;
+    bool at_most_once;
     bool idempotent;
     struct sas_claims_claim *claim;
     struct sas_fingerprint fingerprint;
-    struct sas_steer_query query;
-    struct sas_steer_grant grant;
+    struct sas_router_query query;
+    struct sas_router_grant grant;
     int64_t attempt_at;
     int64_t waiting_since;
     int64_t answer_bytes;
     int attempts;
-    bool in_trial;     /* it runs alone as a suspect */
-    bool may_have_run; /* an earlier attempt was sent and lost */
-    bool was_lost;     /* an earlier attempt was lost on its connection */
+    bool isolated_run;         /* it runs alone as a suspect */
+    bool may_have_run;         /* an earlier attempt was sent and lost */
+    bool needs_new_connection; /* an earlier attempt was lost on its connection
+                                */
 
     /* the answer */
     int status;
     GArray *answer_headers; /* of struct sas_http_header */
     int64_t answer_length;
-    GString *held; /* body bytes that were not passed on yet */
+    GString *buffered; /* body bytes that were not passed on yet */
     bool streaming;
     bool shed;
 };
@@ -80,12 +81,12 @@
                            enum sas_refusal reason, enum sas_outcome outcome,
                            int retry_after_s);
 void SasForwardCall_PassAnswer(struct sas_forward_call *call);
-void SasForwardCall_EndWhole(struct sas_forward_call *call);
+void SasForwardCall_Complete(struct sas_forward_call *call);
 void SasForwardCall_Finish(struct sas_forward_call *call);
 
 /* Asks the guard; call->query.alone says whether it has to run alone. */
 enum sas_quarantine_verdict
-SasForwardCall_AskGuard(struct sas_forward_call *call, int *retry_after_s);
+SasForwardCall_CheckPoison(struct sas_forward_call *call, int *retry_after_s);
 
 /* Attempts (forward_attempt.c). */
 void SasForwardCall_Acquire(struct sas_forward_call *call);
--- a/packages/node/src/server.c
+++ b/packages/node/src/h2o_server.c
@@ -1,4 +1,4 @@
-#include "server.h"
+#include "h2o_server.h"
 
 #include <glib.h>
 #include <h2o/http1.h>
@@ -12,13 +12,13 @@
 
 #define SWEEP_MS 50
 /* Bodies up to this size are still taken while memory is short. */
-#define SMALL_BODY 65536
+#define SMALL_BODY_BYTES 65536
 /* For so long what comes behind a closing answer is read away. */
 #define LINGER_MS 1000
 
-struct sas_server {
+struct sas_h2o_server {
     uv_loop_t *loop;
-    struct sas_server_limits limits;
+    struct sas_h2o_server_limits limits;
     h2o_globalconf_t config;
     h2o_hostconf_t *host;
     h2o_context_t context;
@@ -29,47 +29,48 @@
     uv_timer_t sweep;
     int connections;
     GHashTable *by_socket; /* of struct connection, by h2o's socket */
-    GList *closings;       /* of struct closing */
+    GList *lingering;      /* of struct lingering */
     struct sas_metrics *metrics;
     int http_errors;
     int refused_connections;
-    uint64_t counted_errors;
+    uint64_t reported_errors;
     int open_handles;
     bool closing;
 };
 
 struct connection {
     uv_tcp_t tcp; /* first: libuv's handle is freed as a whole */
-    struct sas_server *server;
+    struct sas_h2o_server *server;
     h2o_socket_t *socket; /* h2o's; gone once the handle is closing */
-    int kept_fd;          /* a second descriptor of it; -1: none */
+    int linger_fd;        /* a second descriptor of it; -1: none */
     size_t held_bytes;    /* of its request, as last seen */
     int64_t active_at;    /* when bytes came, or a request was running */
 };
 
 /* A connection that h2o has closed behind its last answer. */
-struct closing {
+struct lingering {
     uv_poll_t poll; /* first: libuv's handle is freed as a whole */
-    struct sas_server *server;
+    struct sas_h2o_server *server;
     int fd;
     int64_t ends_at;
 };
 
 static void on_sweep(uv_timer_t *timer);
 static void on_accept(uv_stream_t *listener, int status);
-static void end_closing(struct closing *closing);
+static void end_linger(struct lingering *lingering);
 
 static int
 on_request(h2o_handler_t *base, h2o_req_t *req)
 {
-    struct sas_server_handler *handler = (struct sas_server_handler *)base;
+    struct sas_h2o_server_handler *handler =
+        (struct sas_h2o_server_handler *)base;
     return handler->on_request(handler, req);
 }
 
-struct sas_server *
-SasServer_Open(uv_loop_t *loop, const struct sas_server_limits *limits)
+struct sas_h2o_server *
+SasH2oServer_Open(uv_loop_t *loop, const struct sas_h2o_server_limits *limits)
 {
-    struct sas_server *server = g_new0(struct sas_server, 1);
+    struct sas_h2o_server *server = g_new0(struct sas_h2o_server, 1);
     server->loop = loop;
     server->limits = *limits;
     /* VMs have no disks: bodies stay in memory. */
@@ -91,22 +92,23 @@
 }
 
 void
-SasServer_AddHandler(struct sas_server *server, const char *path,
-                     int (*handle)(struct sas_server_handler *, h2o_req_t *),
-                     void *data)
+SasH2oServer_AddHandler(struct sas_h2o_server *server, const char *path,
+                        int (*handle)(struct sas_h2o_server_handler *,
+                                      h2o_req_t *),
+                        void *data)
 {
     h2o_pathconf_t *row = h2o_config_register_path(server->host, path, 0);
-    struct sas_server_handler *handler =
-        (struct sas_server_handler *)h2o_create_handler(
-            row, sizeof(struct sas_server_handler));
+    struct sas_h2o_server_handler *handler =
+        (struct sas_h2o_server_handler *)h2o_create_handler(
+            row, sizeof(struct sas_h2o_server_handler));
     handler->base.on_req = on_request;
     handler->on_request = handle;
     handler->data = data;
 }
 
 int
-SasServer_Listen(struct sas_server *server, const struct sas_address *address,
-                 struct sas_error *error)
+SasH2oServer_Listen(struct sas_h2o_server *server,
+                    const struct sas_address *address, struct sas_error *error)
 {
     struct sockaddr_storage storage;
     int rc = SasHttp_GetSockaddr(address, &storage);
@@ -130,8 +132,8 @@
 }
 
 void
-SasServer_RegisterCounters(struct sas_server *server,
-                           struct sas_metrics *metrics, const char *port)
+SasH2oServer_RegisterCounters(struct sas_h2o_server *server,
+                              struct sas_metrics *metrics, const char *port)
 {
     server->metrics = metrics;
     server->http_errors =
@@ -145,12 +147,12 @@
 static void
 on_handle_closed(uv_handle_t *handle)
 {
-    struct sas_server *server = handle->data;
+    struct sas_h2o_server *server = handle->data;
     server->open_handles--;
 }
 
 void
-SasServer_StopListening(struct sas_server *server)
+SasH2oServer_StopListening(struct sas_h2o_server *server)
 {
     if (!uv_is_closing((uv_handle_t *)&server->listener)) {
         uv_close((uv_handle_t *)&server->listener, on_handle_closed);
@@ -160,7 +162,7 @@
 /* Where there were connections the context stays: they may still refer to it,
  * and the process is about to end. */
 static void
-release(struct sas_server *server, bool unused)
+release(struct sas_h2o_server *server, bool unused)
 {
     if (!unused) {
         return;
@@ -176,13 +178,13 @@
 }
 
 void
-SasServer_Close(struct sas_server *server)
+SasH2oServer_Close(struct sas_h2o_server *server)
 {
     bool unused = server->connections == 0;
     server->closing = true;
-    SasServer_StopListening(server);
-    while (server->closings != NULL) {
-        end_closing(server->closings->data);
+    SasH2oServer_StopListening(server);
+    while (server->lingering != NULL) {
+        end_linger(server->lingering->data);
     }
     uv_close((uv_handle_t *)&server->sweep, on_handle_closed);
     if (server->context_open && !unused) {
@@ -197,23 +199,23 @@
 /* Closing behind an answer. */
 
 static void
-on_closing_closed(uv_handle_t *handle)
+on_linger_closed(uv_handle_t *handle)
 {
     g_free(handle);
 }
 
 static void
-end_closing(struct closing *closing)
+end_linger(struct lingering *lingering)
 {
-    struct sas_server *server = closing->server;
-    server->closings = g_list_remove(server->closings, closing);
-    uv_close((uv_handle_t *)&closing->poll, on_closing_closed);
-    close(closing->fd);
+    struct sas_h2o_server *server = lingering->server;
+    server->lingering = g_list_remove(server->lingering, lingering);
+    uv_close((uv_handle_t *)&lingering->poll, on_linger_closed);
+    close(lingering->fd);
 }
 
 /* True when the other end has closed it too. */
 static bool
-read_away(int fd)
+discard_input(int fd)
 {
     char rest[4096];
     ssize_t count;
@@ -224,70 +226,70 @@
 }
 
 static void
-on_rest(uv_poll_t *poll, int status, int events)
+on_lingering_input(uv_poll_t *poll, int status, int events)
 {
     (void)events;
-    struct closing *closing = (struct closing *)poll;
-    if (status < 0 || read_away(closing->fd)) {
-        end_closing(closing);
+    struct lingering *lingering = (struct lingering *)poll;
+    if (status < 0 || discard_input(lingering->fd)) {
+        end_linger(lingering);
     }
 }
 
 /* A socket that is closed over bytes which nobody has read resets its
  * connection, and what of the answer is still on its way is lost. */
 static void
-begin_closing(struct sas_server *server, int fd)
+begin_linger(struct sas_h2o_server *server, int fd)
 {
     shutdown(fd, SHUT_WR);
-    struct closing *closing = g_new0(struct closing, 1);
-    closing->server = server;
-    closing->fd = fd;
-    closing->ends_at = (int64_t)uv_now(server->loop) + LINGER_MS;
-    if (uv_poll_init(server->loop, &closing->poll, fd) != 0) {
+    struct lingering *lingering = g_new0(struct lingering, 1);
+    lingering->server = server;
+    lingering->fd = fd;
+    lingering->ends_at = (int64_t)uv_now(server->loop) + LINGER_MS;
+    if (uv_poll_init(server->loop, &lingering->poll, fd) != 0) {
         close(fd);
-        g_free(closing);
+        g_free(lingering);
         return;
     }
-    server->closings = g_list_prepend(server->closings, closing);
-    uv_poll_start(&closing->poll, UV_READABLE, on_rest);
+    server->lingering = g_list_prepend(server->lingering, lingering);
+    uv_poll_start(&lingering->poll, UV_READABLE, on_lingering_input);
 }
 
 static void
-end_old_closings(struct sas_server *server)
+end_expired_lingers(struct sas_h2o_server *server)
 {
     int64_t now = (int64_t)uv_now(server->loop);
-    GList *link = server->closings;
+    GList *link = server->lingering;
     while (link != NULL) {
-        struct closing *closing = link->data;
+        struct lingering *lingering = link->data;
         link = link->next;
-        if (now >= closing->ends_at) {
-            read_away(closing->fd);
-            end_closing(closing);
+        if (now >= lingering->ends_at) {
+            discard_input(lingering->fd);
+            end_linger(lingering);
         }
     }
 }
 
 void
-SasServer_EndAfter(struct sas_server *server, h2o_req_t *req)
+SasH2oServer_CloseAfterAnswer(struct sas_h2o_server *server, h2o_req_t *req)
 {
     h2o_socket_t *socket = req->conn->callbacks->get_socket(req->conn);
     struct connection *connection =
         g_hash_table_lookup(server->by_socket, socket);
     req->http1_is_persistent = 0;
-    if (connection != NULL && connection->kept_fd < 0) {
-        connection->kept_fd =
+    if (connection != NULL && connection->linger_fd < 0) {
+        connection->linger_fd =
             fcntl(h2o_socket_get_fd(socket), F_DUPFD_CLOEXEC, 0);
     }
 }
 
 int
-SasServer_CountClosing(const struct sas_server *server)
+SasH2oServer_CountLingering(const struct sas_h2o_server *server)
 {
-    return (int)g_list_length(server->closings);
+    return (int)g_list_length(server->lingering);
 }
 
 void
-SasServer_StopReading(struct sas_server *server)
+SasH2oServer_StopReading(struct sas_h2o_server *server)
 {
     GHashTableIter at;
     gpointer value;
@@ -307,11 +309,11 @@
 {
     struct connection *connection = (struct connection *)handle;
     connection->server->connections--;
-    if (connection->kept_fd >= 0 && connection->server->closing) {
-        close(connection->kept_fd);
+    if (connection->linger_fd >= 0 && connection->server->closing) {
+        close(connection->linger_fd);
     }
-    else if (connection->kept_fd >= 0) {
-        begin_closing(connection->server, connection->kept_fd);
+    else if (connection->linger_fd >= 0) {
+        begin_linger(connection->server, connection->linger_fd);
     }
     /* The memory of h2o's socket may be in use again for a new one. */
     GHashTable *table = connection->server->by_socket;
@@ -330,7 +332,7 @@
 static void
 on_accept(uv_stream_t *listener, int status)
 {
-    struct sas_server *server = listener->data;
+    struct sas_h2o_server *server = listener->data;
     if (status != 0) {
         return;
     }
@@ -359,7 +361,7 @@
     uv_tcp_nodelay(&connection->tcp, 1);
     connection->socket = h2o_uv_socket_create((uv_stream_t *)&connection->tcp,
                                               on_connection_closed);
-    connection->kept_fd = -1;
+    connection->linger_fd = -1;
     connection->active_at = (int64_t)uv_now(server->loop);
     g_hash_table_insert(server->by_socket, connection->socket, connection);
     h2o_accept(&server->accept, connection->socket);
@@ -386,7 +388,7 @@
 }
 
 int
-SasServer_CountRequests(struct sas_server *server)
+SasH2oServer_CountRequests(struct sas_h2o_server *server)
 {
     int count = 0;
     server->config.http1.callbacks.foreach_request(&server->context,
@@ -397,7 +399,7 @@
 static int
 note_running(h2o_req_t *req, void *data)
 {
-    struct sas_server *server = data;
+    struct sas_h2o_server *server = data;
     struct connection *connection = g_hash_table_lookup(
         server->by_socket, req->conn->callbacks->get_socket(req->conn));
     if (connection != NULL && req->processed_at.at.tv_sec != 0) {
@@ -410,7 +412,7 @@
  * off uploads over slow links, steady as they are. That limit is long; here
  * those are cut off that have stopped sending, or send nothing. */
 static void
-cut_off_silent(struct sas_server *server)
+close_idle_senders(struct sas_h2o_server *server)
 {
     int64_t now = (int64_t)uv_now(server->loop);
     server->config.http1.callbacks.foreach_request(&server->context,
@@ -438,15 +440,15 @@
 
 /* h2o answers by itself what never becomes a request, and counts that. */
 static void
-count_errors(struct sas_server *server)
+count_errors(struct sas_h2o_server *server)
 {
     uint64_t sum = 0;
     for (int i = 0; i < H2O_STATUS_ERROR_MAX; i++) {
         sum += server->context.emitted_error_status[i];
     }
     SasMetrics_Add(server->metrics, server->http_errors,
-                   sum - server->counted_errors);
-    server->counted_errors = sum;
+                   sum - server->reported_errors);
+    server->reported_errors = sum;
 }
 
 /* Many large uploads at a time would fill the memory of a small VM, and it
@@ -455,18 +457,18 @@
 static void
 on_sweep(uv_timer_t *timer)
 {
-    struct sas_server *server = timer->data;
+    struct sas_h2o_server *server = timer->data;
     count_errors(server);
-    cut_off_silent(server);
-    end_old_closings(server);
+    close_idle_senders(server);
+    end_expired_lingers(server);
     size_t sum = 0;
     server->config.http1.callbacks.foreach_request(&server->context,
                                                    add_held_bytes, &sum);
     server->config.max_request_entity_size =
         sum > server->limits.bodies_limit
-            ? MIN(server->limits.body_limit, SMALL_BODY)
+            ? MIN(server->limits.body_limit, SMALL_BODY_BYTES)
             : server->limits.body_limit;
-    if (server->connections == 0 && server->closings == NULL) {
+    if (server->connections == 0 && server->lingering == NULL) {
         uv_timer_stop(timer);
     }
 }
@@ -474,31 +476,31 @@
 /* Requests. */
 
 char *
-SasServer_CopyText(h2o_req_t *req, h2o_iovec_t text)
+SasH2oServer_CopyText(h2o_req_t *req, h2o_iovec_t text)
 {
     return h2o_strdup(&req->pool, text.base, text.len).base;
 }
 
 const char *
-SasServer_GetHeader(h2o_req_t *req, const char *name)
+SasH2oServer_GetHeader(h2o_req_t *req, const char *name)
 {
     for (size_t i = 0; i < req->headers.size; i++) {
         const h2o_header_t *header = &req->headers.entries[i];
         if (header->name->len == strlen(name) &&
             strncasecmp(header->name->base, name, header->name->len) == 0) {
-            return SasServer_CopyText(req, header->value);
+            return SasH2oServer_CopyText(req, header->value);
         }
     }
     return NULL;
 }
 
 char *
-SasServer_GetParameter(h2o_req_t *req, const char *name)
+SasH2oServer_GetParameter(h2o_req_t *req, const char *name)
 {
     if (req->query_at == SIZE_MAX) {
         return NULL;
     }
-    char *query = SasServer_CopyText(
+    char *query = SasH2oServer_CopyText(
         req, h2o_iovec_init(req->path.base + req->query_at + 1,
                             req->path.len - req->query_at - 1));
     size_t length = strlen(name);
@@ -511,7 +513,7 @@
             if (decoded == NULL) {
                 return NULL;
             }
-            return SasServer_CopyText(
+            return SasH2oServer_CopyText(
                 req, h2o_iovec_init(decoded, strlen(decoded)));
         }
     }
@@ -519,7 +521,7 @@
 }
 
 void
-SasServer_AddHeader(h2o_req_t *req, const char *name, const char *value)
+SasH2oServer_AddHeader(h2o_req_t *req, const char *name, const char *value)
 {
     h2o_iovec_t name_copy = h2o_strdup(&req->pool, name, strlen(name));
     h2o_iovec_t copy = h2o_strdup(&req->pool, value, strlen(value));
@@ -529,12 +531,12 @@
 }
 
 void
-SasServer_Answer(h2o_req_t *req, int status, const char *content_type,
-                 const char *body, size_t size)
+SasH2oServer_Answer(h2o_req_t *req, int status, const char *content_type,
+                    const char *body, size_t size)
 {
     req->res.status = status;
     req->res.reason = SasHttp_GetReason(status);
-    SasServer_AddHeader(req, "content-type", content_type);
+    SasH2oServer_AddHeader(req, "content-type", content_type);
     /* Without it h2o ends answers from 400 on by closing the connection, and
      * a careful client can't tell them from cut ones. */
     req->res.content_length = size;
@@ -542,7 +544,7 @@
 }
 
 uint32_t
-SasServer_GetCallerIp(h2o_req_t *req, char *text, size_t text_size)
+SasH2oServer_GetCallerIp(h2o_req_t *req, char *text, size_t text_size)
 {
     struct sockaddr_storage storage;
     socklen_t size = req->conn->callbacks->get_peername(
@@ -561,7 +563,7 @@
 }
 
 bool
-SasServer_IsGone(h2o_req_t *req)
+SasH2oServer_IsGone(h2o_req_t *req)
 {
     h2o_socket_t *socket = req->conn->callbacks->get_socket(req->conn);
     char byte;
--- a/packages/node/src/lending.c
+++ b/packages/node/src/lending.c
@@ -12,8 +12,8 @@
 #define DISOWN_MS 200
 #define CALL_TIMEOUT_MS 500
 /* VMs of the region that uses a budget most against those of others. */
-#define NEAR_WEIGHT 6
-#define FAR_WEIGHT 1
+#define LOCAL_WEIGHT 6
+#define REMOTE_WEIGHT 1
 #define RATE_LIFE_MS 3000
 /* Milli-units: one request; 100 ms of 100 Mbit/s. */
 #define REQUEST_QUANTUM 1000
@@ -21,21 +21,21 @@
 #define BURST_SHARE 0.1
 #define NAME_SIZE (3 * SasModel_NAME_SIZE)
 
-struct row {
+struct budget_entry {
     uint64_t id;
     char name[NAME_SIZE];
     struct sas_budget core;
     double cap;   /* of a shift: the one its floors are made from */
     int64_t debt; /* of a rate: taken by a large request, not yet paid */
-    bool asking;
+    bool requesting;
 };
 
 struct sas_lending {
-    struct sas_lending_parts parts;
+    struct sas_lending_options options;
     struct sas_lending_listener *listener;
     struct sas_peer *peer;
-    GPtrArray *rows; /* of struct row; a handle is an index */
-    struct sas_rpc_budget *gossip_rows;
+    GPtrArray *entries; /* of struct row; a handle is an index */
+    struct sas_rpc_budget *gossip_budgets;
     uv_timer_t timer;
     int64_t next_disown_ms;
     uint32_t next_incarnation;
@@ -43,35 +43,35 @@
 };
 
 /* A question to a peer on its way. */
-struct question {
+struct pending_call {
     struct sas_lending *lending;
     int budget;
-    int seat;
+    int member_id;
     uint64_t loan;
     uint32_t renewal; /* 0: for a new loan */
 };
 
 static void on_tick(uv_timer_t *timer);
-static void ask_for_loan(struct sas_lending *lending, int budget);
+static void request_loan(struct sas_lending *lending, int budget);
 
-static struct row *
-get_row(const struct sas_lending *lending, int budget)
+static struct budget_entry *
+get_entry(const struct sas_lending *lending, int budget)
 {
-    return g_ptr_array_index(lending->rows, (guint)budget);
+    return g_ptr_array_index(lending->entries, (guint)budget);
 }
 
 /* Opening. */
 
 static void
-get_floors(const struct sas_lending *lending, double limit, int near_region,
-           int64_t far_weight, int64_t *floors)
+get_floors(const struct sas_lending *lending, double limit, int local_region,
+           int64_t remote_weight, int64_t *floors)
 {
-    const struct sas_model *model = lending->parts.model;
+    const struct sas_model *model = lending->options.model;
     int64_t weights[SasBudget_MAX_SEATS] = {0};
     for (int i = 0; i < model->vm_count; i++) {
-        weights[i] = SasModel_GetVmRegion(model, i) == near_region
-                         ? NEAR_WEIGHT
-                         : far_weight;
+        weights[i] = SasModel_GetVmRegion(model, i) == local_region
+                         ? LOCAL_WEIGHT
+                         : remote_weight;
     }
     SasBudget_Split((int64_t)limit, weights, model->vm_count, floors);
 }
@@ -92,36 +92,36 @@
 }
 
 static void
-init_core(struct sas_lending *lending, struct row *row, enum sas_cap_unit unit,
-          const int64_t *floors, int64_t epoch)
+init_core(struct sas_lending *lending, struct budget_entry *entry,
+          enum sas_cap_unit unit, const int64_t *floors, int64_t epoch)
 {
     bool is_rate = unit == SAS_CAP_REQUESTS || unit == SAS_CAP_MBIT;
     struct sas_budget_settings settings = {
         .kind = is_rate ? SAS_BUDGET_RATE : SAS_BUDGET_CONCURRENT,
-        .seats = lending->parts.model->vm_count,
-        .own_seat = lending->parts.own_vm,
+        .seats = lending->options.model->vm_count,
+        .own_seat = lending->options.own_vm,
         .incarnation = lending->next_incarnation++,
         .life_ms = is_rate ? RATE_LIFE_MS : SasBudget_LIFE_MS,
         .quantum = get_quantum(unit),
     };
-    SasBudget_Init(&row->core, &settings, floors, epoch, SasPeer_GetNow());
+    SasBudget_Init(&entry->core, &settings, floors, epoch, SasPeer_GetNow());
 }
 
-static struct row *
-add_row(struct sas_lending *lending, const char *name)
+static struct budget_entry *
+add_entry(struct sas_lending *lending, const char *name)
 {
-    struct row *row = g_new0(struct row, 1);
-    g_strlcpy(row->name, name, sizeof(row->name));
-    row->id = XXH3_64bits(name, strlen(name));
-    g_ptr_array_add(lending->rows, row);
-    return row;
+    struct budget_entry *entry = g_new0(struct budget_entry, 1);
+    g_strlcpy(entry->name, name, sizeof(entry->name));
+    entry->id = XXH3_64bits(name, strlen(name));
+    g_ptr_array_add(lending->entries, entry);
+    return entry;
 }
 
 static int
-find_row(const struct sas_lending *lending, uint64_t id)
+find_entry(const struct sas_lending *lending, uint64_t id)
 {
-    for (guint i = 0; i < lending->rows->len; i++) {
-        if (get_row(lending, (int)i)->id == id) {
+    for (guint i = 0; i < lending->entries->len; i++) {
+        if (get_entry(lending, (int)i)->id == id) {
             return (int)i;
         }
     }
@@ -129,9 +129,9 @@
 }
 
 static int
-find_name(const struct sas_lending *lending, const char *name)
+find_by_name(const struct sas_lending *lending, const char *name)
 {
-    return find_row(lending, XXH3_64bits(name, strlen(name)));
+    return find_entry(lending, XXH3_64bits(name, strlen(name)));
 }
 
 static void
@@ -165,15 +165,16 @@
 static void
 add_slots(struct sas_lending *lending, int service, int region)
 {
-    const struct sas_model *model = lending->parts.model;
+    const struct sas_model *model = lending->options.model;
     int slots = SasModel_CountSlots(model, service, region) +
-                lending->parts.server_queue *
+                lending->options.server_queue *
                     SasModel_CountBackends(model, service, region);
     char name[NAME_SIZE];
     int64_t floors[SasBudget_MAX_SEATS];
     format_slots_name(model, service, region, name);
-    get_floors(lending, slots, region, FAR_WEIGHT, floors);
-    init_core(lending, add_row(lending, name), SAS_CAP_CONCURRENT, floors, 0);
+    get_floors(lending, slots, region, REMOTE_WEIGHT, floors);
+    init_core(lending, add_entry(lending, name), SAS_CAP_CONCURRENT, floors,
+              0);
 }
 
 /* Only the entry VMs of the region where a link begins send over it. */
@@ -182,15 +183,16 @@
 {
     char name[NAME_SIZE];
     int64_t floors[SasBudget_MAX_SEATS];
-    format_link_name(lending->parts.model, link->from, link->to, name);
+    format_link_name(lending->options.model, link->from, link->to, name);
     get_floors(lending, link->mbit_per_s * 1000, link->from, 0, floors);
-    init_core(lending, add_row(lending, name), SAS_CAP_MBIT, floors, 0);
+    init_core(lending, add_entry(lending, name), SAS_CAP_MBIT, floors, 0);
 }
 
 struct sas_lending *
-SasLending_Open(const struct sas_lending_parts *parts, struct sas_error *error)
+SasLending_Open(const struct sas_lending_options *options,
+                struct sas_error *error)
 {
-    const struct sas_model *model = parts->model;
+    const struct sas_model *model = options->model;
     if (model->vm_count > SasBudget_MAX_SEATS) {
         SasError_Set(error, SAS_ECAPACITY, "lending.open", NULL,
                      "%d entry VMs; budgets have %d seats at most",
@@ -198,9 +200,9 @@
         return NULL;
     }
     struct sas_lending *lending = g_new0(struct sas_lending, 1);
-    lending->parts = *parts;
-    lending->rows = g_ptr_array_new_with_free_func(g_free);
-    lending->next_incarnation = parts->incarnation;
+    lending->options = *options;
+    lending->entries = g_ptr_array_new_with_free_func(g_free);
+    lending->next_incarnation = options->incarnation;
     for (int s = 0; s < model->service_count; s++) {
         for (int r = 0; r < model->region_count; r++) {
             add_slots(lending, s, r);
@@ -209,7 +211,7 @@
     for (int i = 0; i < model->link_count; i++) {
         add_link(lending, &model->links[i]);
     }
-    uv_timer_init(parts->loop, &lending->timer);
+    uv_timer_init(options->loop, &lending->timer);
     lending->timer.data = lending;
     uv_timer_start(&lending->timer, on_tick, TICK_MS, TICK_MS);
     return lending;
@@ -219,8 +221,8 @@
 on_timer_closed(uv_handle_t *handle)
 {
     struct sas_lending *lending = handle->data;
-    g_ptr_array_free(lending->rows, TRUE);
-    g_free(lending->gossip_rows);
+    g_ptr_array_free(lending->entries, TRUE);
+    g_free(lending->gossip_budgets);
     g_free(lending);
 }
 
@@ -248,7 +250,7 @@
 static int
 count_vms(const struct sas_lending *lending, int region)
 {
-    const struct sas_model *model = lending->parts.model;
+    const struct sas_model *model = lending->options.model;
     int count = 0;
     for (int i = 0; i < model->vm_count; i++) {
         count += SasModel_GetVmRegion(model, i) == region;
@@ -266,9 +268,9 @@
                 const struct sas_shift *shift)
 {
     double cap = shift->cap * 1000;
-    int seats = count_vms(lending, shift->to);
-    seats = seats > 0 ? seats : lending->parts.model->vm_count;
-    double bursts = (double)seats * (double)get_quantum(shift->cap_unit);
+    int members = count_vms(lending, shift->to);
+    members = members > 0 ? members : lending->options.model->vm_count;
+    double bursts = (double)members * (double)get_quantum(shift->cap_unit);
     return MAX((cap - bursts) / (1 + BURST_SHARE), cap / 2);
 }
 
@@ -282,28 +284,29 @@
 {
     char name[NAME_SIZE];
     int64_t floors[SasBudget_MAX_SEATS];
-    format_cap_name(lending->parts.model, shift, name);
-    int budget = find_name(lending, name);
-    struct row *row = budget != SasModel_NONE ? get_row(lending, budget)
-                                              : add_row(lending, name);
-    if (budget != SasModel_NONE && row->cap == shift->cap) {
+    format_cap_name(lending->options.model, shift, name);
+    int budget = find_by_name(lending, name);
+    struct budget_entry *entry = budget != SasModel_NONE
+                                     ? get_entry(lending, budget)
+                                     : add_entry(lending, name);
+    if (budget != SasModel_NONE && entry->cap == shift->cap) {
         return;
     }
     bool is_rate = shift->cap_unit != SAS_CAP_CONCURRENT;
     if (is_rate) {
         bool has_vms = count_vms(lending, shift->to) > 0;
         get_floors(lending, get_steady_rate(lending, shift), shift->to,
-                   has_vms ? 0 : FAR_WEIGHT, floors);
+                   has_vms ? 0 : REMOTE_WEIGHT, floors);
     }
     else {
-        get_floors(lending, shift->cap, shift->to, FAR_WEIGHT, floors);
+        get_floors(lending, shift->cap, shift->to, REMOTE_WEIGHT, floors);
     }
-    row->cap = shift->cap;
+    entry->cap = shift->cap;
     if (is_rate || budget == SasModel_NONE) {
-        init_core(lending, row, shift->cap_unit, floors, plan->version);
+        init_core(lending, entry, shift->cap_unit, floors, plan->version);
     }
     else {
-        SasBudget_SetFloors(&row->core, floors, plan->version,
+        SasBudget_SetFloors(&entry->core, floors, plan->version,
                             SasPeer_GetNow());
     }
 }
@@ -325,15 +328,15 @@
                      int region)
 {
     /* The slots stand first, in this order. */
-    return service * lending->parts.model->region_count + region;
+    return service * lending->options.model->region_count + region;
 }
 
 int
 SasLending_FindLink(const struct sas_lending *lending, int from, int to)
 {
     char name[NAME_SIZE];
-    format_link_name(lending->parts.model, from, to, name);
-    return find_name(lending, name);
+    format_link_name(lending->options.model, from, to, name);
+    return find_by_name(lending, name);
 }
 
 int
@@ -344,16 +347,17 @@
         return SasModel_NONE;
     }
     char name[NAME_SIZE];
-    format_cap_name(lending->parts.model, shift, name);
-    return find_name(lending, name);
+    format_cap_name(lending->options.model, shift, name);
+    return find_by_name(lending, name);
 }
 
 bool
 SasLending_IsRecovering(const struct sas_lending *lending)
 {
-    for (guint i = 0; i < lending->rows->len; i++) {
-        const struct row *row = get_row(lending, (int)i);
-        if (row->cap == 0 && row->core.recovering) { /* no cap of a shift */
+    for (guint i = 0; i < lending->entries->len; i++) {
+        const struct budget_entry *entry = get_entry(lending, (int)i);
+        if (entry->cap == 0 &&
+            entry->core.recovering) { /* no cap of a shift */
             return true;
         }
     }
@@ -369,8 +373,8 @@
 /* Using. */
 
 int
-SasLending_Take(struct sas_lending *lending, int budget, int64_t units,
-                int64_t lasts_ms)
+SasLending_Acquire(struct sas_lending *lending, int budget, int64_t units,
+                   int64_t max_run_ms)
 {
     if (lending->stopped) {
         return -1;
@@ -378,46 +382,47 @@
     if (budget == SasModel_NONE) {
         return 0;
     }
-    struct row *row = get_row(lending, budget);
-    int pot = SasBudget_Take(&row->core, units, lasts_ms, SasPeer_GetNow());
-    if (pot < 0) {
-        ask_for_loan(lending, budget);
+    struct budget_entry *entry = get_entry(lending, budget);
+    int source =
+        SasBudget_Take(&entry->core, units, max_run_ms, SasPeer_GetNow());
+    if (source < 0) {
+        request_loan(lending, budget);
     }
-    return pot;
+    return source;
 }
 
 void
-SasLending_Give(struct sas_lending *lending, int budget, int pot,
-                int64_t units)
+SasLending_Release(struct sas_lending *lending, int budget, int source,
+                   int64_t units)
 {
     if (budget != SasModel_NONE) {
-        SasBudget_Give(&get_row(lending, budget)->core, pot, units,
+        SasBudget_Give(&get_entry(lending, budget)->core, source, units,
                        SasPeer_GetNow());
     }
 }
 
 bool
-SasLending_TakeRate(struct sas_lending *lending, int budget, int64_t amount)
+SasLending_AcquireRate(struct sas_lending *lending, int budget, int64_t amount)
 {
     if (lending->stopped || budget == SasModel_NONE) {
         return !lending->stopped;
     }
-    struct row *row = get_row(lending, budget);
+    struct budget_entry *entry = get_entry(lending, budget);
     /* A request larger than the quantum is let pass for a quantum; what it
      * took besides is paid before anything else may pass. Otherwise large
      * uploads would count for less than they are. */
-    int64_t most = row->core.settings.quantum;
+    int64_t most = entry->core.settings.quantum;
     int64_t now = SasPeer_GetNow();
-    while (row->debt > 0 &&
-           SasBudget_TakeRate(&row->core, MIN(row->debt, most), now)) {
-        row->debt -= MIN(row->debt, most);
+    while (entry->debt > 0 &&
+           SasBudget_TakeRate(&entry->core, MIN(entry->debt, most), now)) {
+        entry->debt -= MIN(entry->debt, most);
     }
-    if (row->debt == 0 &&
-        SasBudget_TakeRate(&row->core, MIN(amount, most), now)) {
-        row->debt += amount - MIN(amount, most);
+    if (entry->debt == 0 &&
+        SasBudget_TakeRate(&entry->core, MIN(amount, most), now)) {
+        entry->debt += amount - MIN(amount, most);
         return true;
     }
-    ask_for_loan(lending, budget);
+    request_loan(lending, budget);
     return false;
 }
 
@@ -425,97 +430,97 @@
 SasLending_AddDebt(struct sas_lending *lending, int budget, int64_t amount)
 {
     if (budget != SasModel_NONE && amount > 0) {
-        get_row(lending, budget)->debt += amount;
+        get_entry(lending, budget)->debt += amount;
     }
 }
 
 /* Borrowing. */
 
-static struct question *
-create_question(struct sas_lending *lending, int budget, int seat,
-                uint64_t loan, uint32_t renewal)
+static struct pending_call *
+create_pending_call(struct sas_lending *lending, int budget, int member_id,
+                    uint64_t loan, uint32_t renewal)
 {
-    struct question *question = g_new0(struct question, 1);
-    question->lending = lending;
-    question->budget = budget;
-    question->seat = seat;
-    question->loan = loan;
-    question->renewal = renewal;
-    return question;
+    struct pending_call *pending = g_new0(struct pending_call, 1);
+    pending->lending = lending;
+    pending->budget = budget;
+    pending->member_id = member_id;
+    pending->loan = loan;
+    pending->renewal = renewal;
+    return pending;
 }
 
 static void
 on_borrow_answer(void *context, const struct sas_error *error,
                  const union sas_proto_body *body)
 {
-    struct question *question = context;
-    struct sas_lending *lending = question->lending;
-    struct row *row = get_row(lending, question->budget);
+    struct pending_call *pending = context;
+    struct sas_lending *lending = pending->lending;
+    struct budget_entry *entry = get_entry(lending, pending->budget);
     int64_t now = SasPeer_GetNow();
     uint64_t granted = error == NULL ? body->grant.granted : 0;
     bool gained = false;
-    if (question->renewal == 0) {
-        row->asking = false;
+    if (pending->renewal == 0) {
+        entry->requesting = false;
         if (error == NULL) {
             gained =
-                SasBudget_Borrowed(&row->core, question->seat, question->loan,
-                                   (int64_t)granted, now) &&
+                SasBudget_Borrowed(&entry->core, pending->member_id,
+                                   pending->loan, (int64_t)granted, now) &&
                 granted > 0;
         }
     }
     else if (error == NULL) {
-        SasBudget_Renewed(&row->core, question->loan, question->renewal,
+        SasBudget_Renewed(&entry->core, pending->loan, pending->renewal,
                           granted > 0, now);
     }
-    g_free(question);
+    g_free(pending);
     if (gained && lending->listener != NULL) {
         lending->listener->on_units(lending->listener);
     }
 }
 
 static void
-send_borrow(struct sas_lending *lending, int budget, int seat, uint64_t loan,
-            uint64_t wanted, uint32_t renewal)
+send_borrow(struct sas_lending *lending, int budget, int member_id,
+            uint64_t loan, uint64_t wanted, uint32_t renewal)
 {
-    struct row *row = get_row(lending, budget);
+    struct budget_entry *entry = get_entry(lending, budget);
     struct sas_rpc_borrow borrow = {
-        .budget = row->id,
-        .epoch = (uint64_t)row->core.epoch,
+        .budget = entry->id,
+        .epoch = (uint64_t)entry->core.epoch,
         .loan = loan,
         .wanted = wanted,
         .renewal = renewal,
     };
-    struct question *question =
-        create_question(lending, budget, seat, loan, renewal);
-    if (SasPeer_AskBorrow(lending->peer, seat, &borrow, CALL_TIMEOUT_MS,
-                          on_borrow_answer, question, NULL) != 0) {
-        row->asking = renewal == 0 ? false : row->asking;
-        g_free(question);
+    struct pending_call *pending =
+        create_pending_call(lending, budget, member_id, loan, renewal);
+    if (SasPeer_AskBorrow(lending->peer, member_id, &borrow, CALL_TIMEOUT_MS,
+                          on_borrow_answer, pending, NULL) != 0) {
+        entry->requesting = renewal == 0 ? false : entry->requesting;
+        g_free(pending);
     }
 }
 
 static void
-ask_for_loan(struct sas_lending *lending, int budget)
+request_loan(struct sas_lending *lending, int budget)
 {
-    struct row *row = get_row(lending, budget);
+    struct budget_entry *entry = get_entry(lending, budget);
     int64_t now = SasPeer_GetNow();
-    if (row->asking || lending->peer == NULL) {
+    if (entry->requesting || lending->peer == NULL) {
         return;
     }
-    int64_t wanted = SasBudget_GetWanted(&row->core, now);
+    int64_t wanted = SasBudget_GetWanted(&entry->core, now);
     if (wanted <= 0) {
         return;
     }
     int lender =
-        SasBudget_ChooseLender(&row->core, now, lending->parts.random);
+        SasBudget_ChooseLender(&entry->core, now, lending->options.random);
     if (lender < 0) {
         return;
     }
-    uint64_t loan = SasBudget_Ask(&row->core, lender, now);
+    uint64_t loan = SasBudget_Ask(&entry->core, lender, now);
     if (loan == 0) {
         return;
     }
-    row->asking = true;
+    entry->requesting = true;
     send_borrow(lending, budget, lender, loan, (uint64_t)wanted, 0);
 }
 
@@ -530,42 +535,43 @@
 }
 
 static void
-give_back(struct sas_lending *lending, struct row *row,
-          const struct sas_loan *loan)
+return_loan(struct sas_lending *lending, struct budget_entry *entry,
+            const struct sas_loan *loan)
 {
-    int seat = loan->seat;
+    int member_id = loan->seat;
     uint64_t id = loan->id;
-    int64_t left = SasBudget_Return(&row->core, id, SasPeer_GetNow());
+    int64_t left = SasBudget_Return(&entry->core, id, SasPeer_GetNow());
     struct sas_rpc_return back = {
-        .budget = row->id,
-        .epoch = (uint64_t)row->core.epoch,
+        .budget = entry->id,
+        .epoch = (uint64_t)entry->core.epoch,
         .loan = id,
         .units = (uint64_t)left,
     };
-    SasPeer_AskReturn(lending->peer, seat, &back, CALL_TIMEOUT_MS,
+    SasPeer_AskReturn(lending->peer, member_id, &back, CALL_TIMEOUT_MS,
                       on_return_answer, NULL, NULL);
 }
 
 static void
-tend_loans(struct sas_lending *lending, int budget)
+maintain_loans(struct sas_lending *lending, int budget)
 {
-    struct row *row = get_row(lending, budget);
+    struct budget_entry *entry = get_entry(lending, budget);
     int64_t now = SasPeer_GetNow();
-    const struct sas_loan *loan = SasBudget_FindSurplus(&row->core, now);
+    const struct sas_loan *loan = SasBudget_FindSurplus(&entry->core, now);
     if (loan != NULL) {
-        give_back(lending, row, loan);
+        return_loan(lending, entry, loan);
         return;
     }
-    loan = SasBudget_FindRenewal(&row->core, now);
+    loan = SasBudget_FindRenewal(&entry->core, now);
     if (loan == NULL) {
         return;
     }
-    int seat = loan->seat;
+    int member_id = loan->seat;
     uint64_t id = loan->id;
     int64_t granted = loan->granted;
-    uint32_t renewal = SasBudget_Renew(&row->core, id, now);
+    uint32_t renewal = SasBudget_Renew(&entry->core, id, now);
     if (renewal != 0) {
-        send_borrow(lending, budget, seat, id, (uint64_t)granted, renewal);
+        send_borrow(lending, budget, member_id, id, (uint64_t)granted,
+                    renewal);
     }
 }
 
@@ -575,17 +581,18 @@
 on_disown_answer(void *context, const struct sas_error *error,
                  const union sas_proto_body *body)
 {
-    struct question *question = context;
-    struct sas_lending *lending = question->lending;
+    struct pending_call *pending = context;
+    struct sas_lending *lending = pending->lending;
     for (u_int i = 0; error == NULL && i < body->disown.rows.rows_len; i++) {
-        const struct sas_rpc_disown *clear = &body->disown.rows.rows_val[i];
-        int budget = find_row(lending, clear->budget);
+        const struct sas_rpc_disown *cleared = &body->disown.rows.rows_val[i];
+        int budget = find_entry(lending, cleared->budget);
         if (budget != SasModel_NONE) {
-            SasBudget_Disowned(&get_row(lending, budget)->core, question->seat,
-                               clear->incarnation, SasPeer_GetNow());
+            SasBudget_Disowned(&get_entry(lending, budget)->core,
+                               pending->member_id, cleared->incarnation,
+                               SasPeer_GetNow());
         }
     }
-    g_free(question);
+    g_free(pending);
     if (error == NULL && lending->listener != NULL) {
         lending->listener->on_units(lending->listener);
     }
@@ -594,30 +601,33 @@
 /* Asks each peer whether it holds loans of an earlier process of this seat;
  * once all have said no, the whole floor may be used. */
 static void
-ask_to_disown(struct sas_lending *lending)
+request_disowns(struct sas_lending *lending)
 {
     struct sas_rpc_disown rows[SAS_RPC_MAX_BUDGETS];
     struct sas_rpc_disown_list list = {.rows.rows_val = rows};
-    for (int seat = 0; seat < lending->parts.model->vm_count; seat++) {
+    for (int member_id = 0; member_id < lending->options.model->vm_count;
+         member_id++) {
         list.rows.rows_len = 0;
-        for (guint i = 0; i < lending->rows->len && i < SAS_RPC_MAX_BUDGETS;
+        for (guint i = 0; i < lending->entries->len && i < SAS_RPC_MAX_BUDGETS;
              i++) {
-            const struct row *row = get_row(lending, (int)i);
-            if (!row->core.recovering || row->core.peers[seat].disowned) {
+            const struct budget_entry *entry = get_entry(lending, (int)i);
+            if (!entry->core.recovering ||
+                entry->core.peers[member_id].disowned) {
                 continue;
             }
-            rows[list.rows.rows_len].budget = row->id;
+            rows[list.rows.rows_len].budget = entry->id;
             rows[list.rows.rows_len].incarnation =
-                row->core.settings.incarnation;
+                entry->core.settings.incarnation;
             list.rows.rows_len++;
         }
-        if (list.rows.rows_len == 0 || seat == lending->parts.own_vm) {
+        if (list.rows.rows_len == 0 || member_id == lending->options.own_vm) {
             continue;
         }
-        struct question *question = create_question(lending, 0, seat, 0, 0);
-        if (SasPeer_AskDisown(lending->peer, seat, &list, CALL_TIMEOUT_MS,
-                              on_disown_answer, question, NULL) != 0) {
-            g_free(question);
+        struct pending_call *pending =
+            create_pending_call(lending, 0, member_id, 0, 0);
+        if (SasPeer_AskDisown(lending->peer, member_id, &list, CALL_TIMEOUT_MS,
+                              on_disown_answer, pending, NULL) != 0) {
+            g_free(pending);
         }
     }
 }
@@ -630,12 +640,12 @@
     if (lending->peer == NULL) {
         return;
     }
-    for (guint i = 0; i < lending->rows->len; i++) {
-        tend_loans(lending, (int)i);
+    for (guint i = 0; i < lending->entries->len; i++) {
+        maintain_loans(lending, (int)i);
     }
     if (now >= lending->next_disown_ms) {
         lending->next_disown_ms = now + DISOWN_MS;
-        ask_to_disown(lending);
+        request_disowns(lending);
     }
 }
 
@@ -646,31 +656,31 @@
                       struct sas_rpc_gossip *gossip)
 {
     int64_t now = SasPeer_GetNow();
-    guint count = MIN(lending->rows->len, SAS_RPC_MAX_BUDGETS);
-    lending->gossip_rows =
-        g_renew(struct sas_rpc_budget, lending->gossip_rows, count);
+    guint count = MIN(lending->entries->len, SAS_RPC_MAX_BUDGETS);
+    lending->gossip_budgets =
+        g_renew(struct sas_rpc_budget, lending->gossip_budgets, count);
     for (guint i = 0; i < count; i++) {
-        struct row *row = get_row(lending, (int)i);
-        lending->gossip_rows[i].id = row->id;
-        lending->gossip_rows[i].unused =
-            (uint64_t)SasBudget_GetUnused(&row->core, now);
-        lending->gossip_rows[i].epoch =
-            SasBudget_GetAnnounced(&row->core, now);
+        struct budget_entry *entry = get_entry(lending, (int)i);
+        lending->gossip_budgets[i].id = entry->id;
+        lending->gossip_budgets[i].unused =
+            (uint64_t)SasBudget_GetUnused(&entry->core, now);
+        lending->gossip_budgets[i].epoch =
+            SasBudget_GetAnnounced(&entry->core, now);
     }
     gossip->budgets.budgets_len = count;
-    gossip->budgets.budgets_val = lending->gossip_rows;
+    gossip->budgets.budgets_val = lending->gossip_budgets;
 }
 
 void
-SasLending_TakeGossip(struct sas_lending *lending, int seat,
-                      const struct sas_rpc_gossip *gossip)
+SasLending_ApplyGossip(struct sas_lending *lending, int member_id,
+                       const struct sas_rpc_gossip *gossip)
 {
     int64_t now = SasPeer_GetNow();
     for (u_int i = 0; i < gossip->budgets.budgets_len; i++) {
         const struct sas_rpc_budget *hint = &gossip->budgets.budgets_val[i];
-        int budget = find_row(lending, hint->id);
+        int budget = find_entry(lending, hint->id);
         if (budget != SasModel_NONE) {
-            SasBudget_Hint(&get_row(lending, budget)->core, seat,
+            SasBudget_Hint(&get_entry(lending, budget)->core, member_id,
                            (int64_t)MIN(hint->unused, INT64_MAX / 2),
                            hint->epoch, now);
         }
@@ -678,45 +688,45 @@
 }
 
 uint64_t
-SasLending_AnswerBorrow(struct sas_lending *lending, int seat,
+SasLending_AnswerBorrow(struct sas_lending *lending, int member_id,
                         const struct sas_rpc_borrow *borrow)
 {
-    int budget = find_row(lending, borrow->budget);
+    int budget = find_entry(lending, borrow->budget);
     if (lending->stopped || budget == SasModel_NONE ||
         borrow->wanted > INT64_MAX / 2) {
         return 0;
     }
-    struct sas_budget *core = &get_row(lending, budget)->core;
+    struct sas_budget *core = &get_entry(lending, budget)->core;
     int64_t now = SasPeer_GetNow();
     if (borrow->renewal != 0) {
-        return SasBudget_Extend(core, seat, borrow->loan,
+        return SasBudget_Extend(core, member_id, borrow->loan,
                                 (int64_t)borrow->wanted, now);
     }
-    return (uint64_t)SasBudget_Lend(core, seat, borrow->loan,
+    return (uint64_t)SasBudget_Lend(core, member_id, borrow->loan,
                                     (int64_t)borrow->wanted, now);
 }
 
 void
-SasLending_TakeReturn(struct sas_lending *lending, int seat,
-                      const struct sas_rpc_return *back)
+SasLending_AcceptReturn(struct sas_lending *lending, int member_id,
+                        const struct sas_rpc_return *back)
 {
-    int budget = find_row(lending, back->budget);
+    int budget = find_entry(lending, back->budget);
     if (budget != SasModel_NONE && back->units <= INT64_MAX / 2) {
-        SasBudget_TakeBack(&get_row(lending, budget)->core, seat, back->loan,
-                           (int64_t)back->units, SasPeer_GetNow());
+        SasBudget_TakeBack(&get_entry(lending, budget)->core, member_id,
+                           back->loan, (int64_t)back->units, SasPeer_GetNow());
     }
 }
 
 void
-SasLending_AnswerDisown(struct sas_lending *lending, int seat,
+SasLending_AnswerDisown(struct sas_lending *lending, int member_id,
                         struct sas_rpc_disown_list *list)
 {
     u_int kept = 0;
     for (u_int i = 0; i < list->rows.rows_len; i++) {
-        int budget = find_row(lending, list->rows.rows_val[i].budget);
+        int budget = find_entry(lending, list->rows.rows_val[i].budget);
         /* A budget that is not known here was never borrowed from. */
         if (budget == SasModel_NONE ||
-            SasBudget_Disown(&get_row(lending, budget)->core, seat,
+            SasBudget_Disown(&get_entry(lending, budget)->core, member_id,
                              SasPeer_GetNow())) {
             list->rows.rows_val[kept++] = list->rows.rows_val[i];
         }
@@ -741,21 +751,22 @@
 {
     json_t *list = json_array();
     int64_t now = SasPeer_GetNow();
-    for (guint i = 0; i < lending->rows->len; i++) {
-        struct row *row = get_row(lending, (int)i);
+    for (guint i = 0; i < lending->entries->len; i++) {
+        struct budget_entry *entry = get_entry(lending, (int)i);
         double unit =
-            row->core.settings.kind == SAS_BUDGET_RATE ? 1000.0 : 1.0;
-        double floor = (double)row->core.floors[lending->parts.own_vm] / unit;
+            entry->core.settings.kind == SAS_BUDGET_RATE ? 1000.0 : 1.0;
+        double floor =
+            (double)entry->core.floors[lending->options.own_vm] / unit;
         json_array_append_new(
             list,
-            json_pack("{s:s, s:f, s:f, s:f, s:f, s:f, s:b}", "name", row->name,
-                      "floor", floor, "lent",
-                      (double)sum_loans(row->core.lent) / unit, "borrowed",
-                      (double)sum_loans(row->core.borrowed) / unit, "used",
-                      (double)SasBudget_GetUsed(&row->core) / unit,
+            json_pack("{s:s, s:f, s:f, s:f, s:f, s:f, s:b}", "name",
+                      entry->name, "floor", floor, "lent",
+                      (double)sum_loans(entry->core.lent) / unit, "borrowed",
+                      (double)sum_loans(entry->core.borrowed) / unit, "used",
+                      (double)SasBudget_GetUsed(&entry->core) / unit,
                       "allowance",
-                      (double)SasBudget_GetAllowance(&row->core, now) / unit,
-                      "recovering", (int)row->core.recovering));
+                      (double)SasBudget_GetAllowance(&entry->core, now) / unit,
+                      "recovering", (int)entry->core.recovering));
     }
     return list;
 }
--- a/packages/node/src/lending.h
+++ b/packages/node/src/lending.h
@@ -29,7 +29,7 @@
     void (*on_units)(struct sas_lending_listener *listener);
 };
 
-struct sas_lending_parts {
+struct sas_lending_options {
     uv_loop_t *loop;
     const struct sas_model *model;
     int own_vm;
@@ -39,7 +39,7 @@
 };
 
 /* NULL with an error when there are more seats than budgets can have. */
-struct sas_lending *SasLending_Open(const struct sas_lending_parts *parts,
+struct sas_lending *SasLending_Open(const struct sas_lending_options *options,
                                     struct sas_error *error);
 void SasLending_Close(struct sas_lending *lending);
 void SasLending_SetListener(struct sas_lending *lending,
@@ -66,12 +66,12 @@
 
 /* Using. A handle of SasModel_NONE always has room. Take returns the pot to
  * give the units back to, or -1; a refusal asks peers for a loan. */
-int SasLending_Take(struct sas_lending *lending, int budget, int64_t units,
-                    int64_t lasts_ms);
-void SasLending_Give(struct sas_lending *lending, int budget, int pot,
-                     int64_t units);
-bool SasLending_TakeRate(struct sas_lending *lending, int budget,
-                         int64_t amount);
+int SasLending_Acquire(struct sas_lending *lending, int budget, int64_t units,
+                       int64_t max_run_ms);
+void SasLending_Release(struct sas_lending *lending, int budget, int source,
+                        int64_t units);
+bool SasLending_AcquireRate(struct sas_lending *lending, int budget,
+                            int64_t amount);
 
 /* What a request took beyond its amount, to be paid before the next one;
  * nothing for amounts of 0 and less. */
@@ -81,15 +81,15 @@
 /* Peers. Budgets of the gossip live until the next call. */
 void SasLending_FillGossip(struct sas_lending *lending,
                            struct sas_rpc_gossip *gossip);
-void SasLending_TakeGossip(struct sas_lending *lending, int seat,
-                           const struct sas_rpc_gossip *gossip);
-uint64_t SasLending_AnswerBorrow(struct sas_lending *lending, int seat,
+void SasLending_ApplyGossip(struct sas_lending *lending, int member_id,
+                            const struct sas_rpc_gossip *gossip);
+uint64_t SasLending_AnswerBorrow(struct sas_lending *lending, int member_id,
                                  const struct sas_rpc_borrow *borrow);
-void SasLending_TakeReturn(struct sas_lending *lending, int seat,
-                           const struct sas_rpc_return *back);
+void SasLending_AcceptReturn(struct sas_lending *lending, int member_id,
+                             const struct sas_rpc_return *back);
 
 /* Keeps in *rows those of which this node holds no loan of the seat. */
-void SasLending_AnswerDisown(struct sas_lending *lending, int seat,
+void SasLending_AnswerDisown(struct sas_lending *lending, int member_id,
                              struct sas_rpc_disown_list *rows);
 
 /* [{"name":...,"floor":...,"lent":...,"borrowed":...,"used":...}] */
--- a/packages/node/src/main.c
+++ b/packages/node/src/main.c
@@ -3,7 +3,7 @@
 #include <stdio.h>
 #include <stdlib.h>
 
-#include "live.h"
+#include "platform_mode.h"
 #include "node.h"
 #include "sas/log.h"
 #include "signals.h"
@@ -63,7 +63,7 @@
 int
 main(int argc, char **argv)
 {
-    SasSignals_Hold();
+    SasSignals_Block();
     struct options options = {0};
     const GOptionEntry entries[] = {
         {"settings", 's', 0, G_OPTION_ARG_FILENAME, &options.settings,
@@ -95,7 +95,7 @@
                     "needed; see --help");
     }
     int status = options.platform != NULL
-                     ? SasLive_Run(options.platform, options.check)
+                     ? SasPlatformMode_Run(options.platform, options.check)
                      : run(&options);
     g_free(options.platform);
     g_free(options.settings);
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -8,17 +8,17 @@
 #include "admin.h"
 #include "caller.h"
 #include "claims.h"
-#include "configure.h"
+#include "config_store.h"
 #include "forward.h"
-#include "guard.h"
-#include "peers.h"
+#include "poison_guard.h"
+#include "peer_sync.h"
 #include "sas/log.h"
 #include "sas/metrics.h"
 #include "sas/secret.h"
 #include "sas/store.h"
 #include "sas/wall.h"
 #include "signals.h"
-#include "steer.h"
+#include "router.h"
 #include "upstream.h"
 
 #define PROBE_TICK_MS 100
@@ -34,11 +34,11 @@
 
 struct sas_node {
     struct sas_upstream_listener upstream_listener;
-    struct sas_configure_listener configure_listener;
-    struct sas_steer_listener steer_listener;
+    struct sas_config_store_listener config_store_listener;
+    struct sas_router_listener router_listener;
     struct sas_lending_listener lending_listener;
-    struct sas_guard_listener guard_listener;
-    struct sas_peers_listener peers_listener;
+    struct sas_poison_guard_listener poison_guard_listener;
+    struct sas_peer_sync_listener peer_sync_listener;
     struct sas_admin_view view;
     uv_loop_t loop;
     const struct sas_settings *settings;
@@ -48,13 +48,13 @@
     struct sas_counters counters;
     struct sas_store *store;
     struct sas_lending *lending;
-    struct sas_steer *steer;
+    struct sas_router *router;
     struct sas_upstream *upstream;
     struct sas_claims *claims;
-    struct sas_guard *guard;
+    struct sas_poison_guard *poison_guard;
     struct sas_forward *forward;
-    struct sas_configure *configure;
-    struct sas_peers *peers;
+    struct sas_config_store *config_store;
+    struct sas_peer_sync *peer_sync;
     struct sas_caller *caller;
     struct sas_admin *admin;
     char *admin_token; /* NULL: none */
@@ -63,7 +63,7 @@
     uv_signal_t signals[3];
     uv_timer_t stop_timer;
     int64_t stopping_at; /* 0: not stopping */
-    bool abandoned;      /* requests, at the stop's limit */
+    bool pending_failed; /* requests, at the stop's limit */
     int exit_status;
 };
 
@@ -77,13 +77,13 @@
         const struct sas_load_report *report)
 {
     struct sas_node *node = NODE_OF(listener, upstream_listener);
-    SasSteer_TakeLoad(node->steer, backend, report,
-                      SasPeers_HashIncarnation(report->incarnation), 0);
+    SasRouter_ApplyLoad(node->router, backend, report,
+                        SasPeerSync_HashIncarnation(report->incarnation), 0);
     if (report->asked_at != 0) {
-        SasGuard_TakeProbe(node->guard, backend, report);
+        SasPoisonGuard_ApplyProbe(node->poison_guard, backend, report);
     }
-    if (node->peers != NULL) {
-        SasPeers_NoteLoad(node->peers, backend, report);
+    if (node->peer_sync != NULL) {
+        SasPeerSync_NoteLoad(node->peer_sync, backend, report);
     }
 }
 
@@ -91,24 +91,25 @@
 on_health(struct sas_upstream_listener *listener, int backend, bool reachable)
 {
     struct sas_node *node = NODE_OF(listener, upstream_listener);
-    SasSteer_TakeHealth(node->steer, backend, reachable);
+    SasRouter_ApplyHealth(node->router, backend, reachable);
 }
 
 static void
-on_config(struct sas_configure_listener *listener, struct sas_config *config)
+on_config(struct sas_config_store_listener *listener,
+          struct sas_config *config)
 {
-    struct sas_node *node = NODE_OF(listener, configure_listener);
-    SasSteer_TakeConfig(node->steer, config);
-    if (node->peers != NULL) {
-        SasPeers_NoteChange(node->peers);
+    struct sas_node *node = NODE_OF(listener, config_store_listener);
+    SasRouter_ApplyConfig(node->router, config);
+    if (node->peer_sync != NULL) {
+        SasPeerSync_NoteChange(node->peer_sync);
     }
 }
 
 static void
-on_vms(struct sas_configure_listener *listener, const json_t *list)
+on_vms(struct sas_config_store_listener *listener, const json_t *list)
 {
-    struct sas_node *node = NODE_OF(listener, configure_listener);
-    SasSteer_TakeVms(node->steer, list);
+    struct sas_node *node = NODE_OF(listener, config_store_listener);
+    SasRouter_ApplyVms(node->router, list);
 }
 
 /* What operators see of this node. */
@@ -116,26 +117,27 @@
 static bool
 is_ready(struct sas_admin_view *view)
 {
-    return SasSteer_IsReady(NODE_OF(view, view)->steer);
+    return SasRouter_IsReady(NODE_OF(view, view)->router);
 }
 
 static int64_t
 get_version(struct sas_admin_view *view)
 {
-    return SasSteer_GetVersion(NODE_OF(view, view)->steer);
+    return SasRouter_GetVersion(NODE_OF(view, view)->router);
 }
 
 static json_t *
 describe(struct sas_admin_view *view)
 {
     struct sas_node *node = NODE_OF(view, view);
-    json_t *status = SasSteer_Describe(node->steer);
-    json_object_set_new(status, "peers", SasPeers_Describe(node->peers));
+    json_t *status = SasRouter_Describe(node->router);
+    json_object_set_new(status, "peers",
+                        SasPeerSync_Describe(node->peer_sync));
     return status;
 }
 
 static void
-wake_waiting(struct sas_node *node)
+wake_queued(struct sas_node *node)
 {
     if (node->forward != NULL) {
         SasForward_Wake(node->forward);
@@ -143,30 +145,30 @@
 }
 
 static void
-on_capacity(struct sas_steer_listener *listener)
+on_capacity(struct sas_router_listener *listener)
 {
-    wake_waiting(NODE_OF(listener, steer_listener));
+    wake_queued(NODE_OF(listener, router_listener));
 }
 
 static void
 on_units(struct sas_lending_listener *listener)
 {
-    wake_waiting(NODE_OF(listener, lending_listener));
+    wake_queued(NODE_OF(listener, lending_listener));
 }
 
 static void
-on_suspicion(struct sas_guard_listener *listener)
+on_quarantine_change(struct sas_poison_guard_listener *listener)
 {
-    struct sas_node *node = NODE_OF(listener, guard_listener);
-    if (node->peers != NULL) {
-        SasPeers_SendQuarantines(node->peers);
+    struct sas_node *node = NODE_OF(listener, poison_guard_listener);
+    if (node->peer_sync != NULL) {
+        SasPeerSync_SendQuarantines(node->peer_sync);
     }
 }
 
 static void
-on_doubt(struct sas_guard_listener *listener, int backend)
+on_crash_suspected(struct sas_poison_guard_listener *listener, int backend)
 {
-    struct sas_node *node = NODE_OF(listener, guard_listener);
+    struct sas_node *node = NODE_OF(listener, poison_guard_listener);
     SasUpstream_Probe(node->upstream, backend);
 }
 
@@ -218,16 +220,16 @@
         return;
     }
     SasCaller_RefuseRequests(node->caller);
-    bool late = elapsed >= node->settings->stop_limit_ms;
-    if (late && active > 0 && !node->abandoned) {
+    bool past_limit = elapsed >= node->settings->stop_limit_ms;
+    if (past_limit && active > 0 && !node->pending_failed) {
         SasLog_Write(SasLog_ERROR, "node.stop", NULL,
                      "the limit is over with %d requests in progress", active);
-        node->abandoned = true;
-        SasCaller_Abandon(node->caller);
+        node->pending_failed = true;
+        SasCaller_FailPending(node->caller);
         return; /* ends with the next tick, when the answers are out */
     }
-    if (late || (active == 0 && SasCaller_End(node->caller))) {
-        end_loop(node, node->abandoned ? EXIT_STOP_LIMIT : EXIT_STOPPED);
+    if (past_limit || (active == 0 && SasCaller_End(node->caller))) {
+        end_loop(node, node->pending_failed ? EXIT_STOP_LIMIT : EXIT_STOPPED);
     }
 }
 
@@ -235,9 +237,9 @@
 start_stopping(struct sas_node *node)
 {
     node->stopping_at = (int64_t)uv_now(&node->loop);
-    SasSteer_TakePeer(node->steer, node->own_vm, true, true);
+    SasRouter_ApplyPeer(node->router, node->own_vm, true, true);
     SasCaller_StartStopping(node->caller);
-    SasPeers_SetLeaving(node->peers);
+    SasPeerSync_SetLeaving(node->peer_sync);
     uv_timer_start(&node->stop_timer, on_stop_tick, STOP_TICK_MS,
                    STOP_TICK_MS);
 }
@@ -246,9 +248,9 @@
  * its seat: two processes would use the same floors of every budget. The
  * peers tell the older one, which grants nothing new and ends. */
 static void
-on_replaced(struct sas_peers_listener *listener)
+on_replaced(struct sas_peer_sync_listener *listener)
 {
-    struct sas_node *node = NODE_OF(listener, peers_listener);
+    struct sas_node *node = NODE_OF(listener, peer_sync_listener);
     SasLog_Write(SasLog_ERROR, "node.replaced", NULL,
                  "another process has this seat; this one stops");
     SasLending_Stop(node->lending);
@@ -281,13 +283,13 @@
 /* Opening and closing. */
 
 static int
-open_steering(struct sas_node *node, struct sas_error *error)
+open_routing(struct sas_node *node, struct sas_error *error)
 {
     const struct sas_settings *settings = node->settings;
     node->store = settings->embedded_store
                       ? SasStore_OpenMemory(&node->loop)
                       : SasStore_OpenHttp(&node->loop, &settings->store);
-    struct sas_lending_parts lending = {
+    struct sas_lending_options lending = {
         .loop = &node->loop,
         .model = &settings->model,
         .own_vm = node->own_vm,
@@ -301,7 +303,7 @@
     }
     node->lending_listener.on_units = on_units;
     SasLending_SetListener(node->lending, &node->lending_listener);
-    struct sas_steer_parts steer = {
+    struct sas_router_options router = {
         .loop = &node->loop,
         .settings = settings,
         .own_vm = node->own_vm,
@@ -309,53 +311,54 @@
         .get_wall_ms = SasWall_GetMs,
         .lending = node->lending,
     };
-    node->steer = SasSteer_Open(&steer, error);
-    if (node->steer == NULL) {
+    node->router = SasRouter_Open(&router, error);
+    if (node->router == NULL) {
         return -1;
     }
-    node->steer_listener.on_capacity = on_capacity;
-    SasSteer_SetListener(node->steer, &node->steer_listener);
+    node->router_listener.on_capacity = on_capacity;
+    SasRouter_SetListener(node->router, &node->router_listener);
     node->upstream_listener.on_load = on_load;
     node->upstream_listener.on_health = on_health;
     node->upstream =
         SasUpstream_Open(&node->loop, &settings->model, &node->counters,
                          &node->upstream_listener);
-    node->guard_listener.on_change = on_suspicion;
-    node->guard_listener.on_doubt = on_doubt;
-    node->guard = SasGuard_Open(&node->loop, &settings->model, &node->counters,
-                                &node->guard_listener);
+    node->poison_guard_listener.on_change = on_quarantine_change;
+    node->poison_guard_listener.on_crash_suspected = on_crash_suspected;
+    node->poison_guard =
+        SasPoisonGuard_Open(&node->loop, &settings->model, &node->counters,
+                            &node->poison_guard_listener);
     snprintf(node->identity, sizeof(node->identity),
              "%s-%" G_GINT64_MODIFIER "x-%d",
              settings->model.vms[node->own_vm].name, SasWall_GetMs(),
              (int)getpid());
     node->claims = SasClaims_Open(&node->loop, node->store, &node->counters,
                                   node->identity);
-    struct sas_forward_parts forward = {
+    struct sas_forward_options forward = {
         .loop = &node->loop,
         .model = &settings->model,
         .counters = &node->counters,
-        .steer = node->steer,
+        .router = node->router,
         .upstream = node->upstream,
         .claims = node->claims,
-        .guard = node->guard,
+        .poison_guard = node->poison_guard,
         .random = node->random,
         .id_prefix = node->identity,
         .queue_wait_ms = settings->queue_wait_ms,
         .retry_share = settings->retry_share,
     };
     node->forward = SasForward_Open(&forward);
-    node->configure_listener.on_config = on_config;
-    node->configure_listener.on_vms = on_vms;
-    struct sas_configure_parts configure = {
+    node->config_store_listener.on_config = on_config;
+    node->config_store_listener.on_vms = on_vms;
+    struct sas_config_store_options config_store = {
         .loop = &node->loop,
         .model = &settings->model,
         .store = node->store,
-        .listener = &node->configure_listener,
+        .listener = &node->config_store_listener,
         .random = node->random,
         .utc_offset_s = settings->utc_offset_s,
         .get_wall_ms = SasWall_GetMs,
     };
-    node->configure = SasConfigure_Open(&configure);
+    node->config_store = SasConfigStore_Open(&config_store);
     return 0;
 }
 
@@ -364,29 +367,29 @@
 {
     const struct sas_settings *settings = node->settings;
     const struct sas_vm *vm = &settings->model.vms[node->own_vm];
-    struct sas_peers_parts peers = {
+    struct sas_peer_sync_options peer_sync = {
         .loop = &node->loop,
         .settings = settings,
         .own_vm = node->own_vm,
         .incarnation = (uint64_t)SasWall_GetMs(),
         .random = node->random,
-        .steer = node->steer,
-        .configure = node->configure,
-        .guard = node->guard,
+        .router = node->router,
+        .config_store = node->config_store,
+        .poison_guard = node->poison_guard,
         .lending = node->lending,
         .counters = &node->counters,
-        .listener = &node->peers_listener,
+        .listener = &node->peer_sync_listener,
     };
-    node->peers_listener.on_replaced = on_replaced;
-    node->peers = SasPeers_Open(&peers, error);
-    if (node->peers == NULL) {
+    node->peer_sync_listener.on_replaced = on_replaced;
+    node->peer_sync = SasPeerSync_Open(&peer_sync, error);
+    if (node->peer_sync == NULL) {
         return -1;
     }
-    struct sas_caller_parts caller = {
+    struct sas_caller_options caller = {
         .loop = &node->loop,
         .model = &settings->model,
         .counters = &node->counters,
-        .steer = node->steer,
+        .router = node->router,
         .forward = node->forward,
         .limits = {settings->body_limit, settings->bodies_limit,
                    SasCaller_MAX_CONNECTIONS},
@@ -404,12 +407,12 @@
     node->view.is_ready = is_ready;
     node->view.get_version = get_version;
     node->view.describe = describe;
-    struct sas_admin_parts admin = {
+    struct sas_admin_options admin = {
         .loop = &node->loop,
         .vm = vm->name,
         .model = &settings->model,
         .metrics = node->counters.metrics,
-        .configure = node->configure,
+        .config_store = node->config_store,
         .view = &node->view,
         .token = node->admin_token,
         .get_wall_ms = SasWall_GetMs,
@@ -445,17 +448,17 @@
     node->settings = settings;
     node->own_vm = own_vm;
     node->random = g_rand_new();
-    SasReasons_RegisterCounters(&node->counters, SasMetrics_New());
+    SasRefusal_RegisterCounters(&node->counters, SasMetrics_New());
     uv_loop_init(&node->loop);
-    if (open_steering(node, &error) != 0 || open_ports(node, &error) != 0) {
+    if (open_routing(node, &error) != 0 || open_ports(node, &error) != 0) {
         SasLog_WriteError(SasLog_ERROR, &error);
         return EXIT_FAILED_START;
     }
     start_timers(node);
     SasLog_Write(SasLog_INFO, "node.start", NULL, "serving");
-    SasSignals_Release();
+    SasSignals_Unblock();
     uv_run(&node->loop, UV_RUN_DEFAULT);
-    SasSignals_Hold();
+    SasSignals_Block();
     SasLog_Write(SasLog_INFO, "node.stop", NULL, "stopped with status %d",
                  node->exit_status);
     return node->exit_status;
--- a/packages/node/src/live.h
+++ b/packages/node/src/platform_mode.h
@@ -8,13 +8,13 @@
  *                                  they tell each other is not proved
  *   SASSAFRASSILL_CLOCK_OFFSET_MS  for tests: so much the time of day is ahead
  */
-#ifndef SAS_LIVE_H
-#define SAS_LIVE_H
+#ifndef SAS_PLATFORM_MODE_H
+#define SAS_PLATFORM_MODE_H
 
 #include <stdbool.h>
 
 /* Runs until it is stopped; with check the settings are only checked. Gives
  * the exit status: 0 stopped, 1 could not start, 2 wrong settings. */
-int SasLive_Run(const char *settings_path, bool check);
+int SasPlatformMode_Run(const char *settings_path, bool check);
 
 #endif
--- a/packages/node/src/guard.c
+++ b/packages/node/src/poison_guard.c
@@ -1,4 +1,4 @@
-#include "guard.h"
+#include "poison_guard.h"
 
 #include <glib.h>
 #include <string.h>
@@ -11,38 +11,38 @@
 struct backend_row {
     char incarnation[SasModel_NAME_SIZE]; /* as it said last */
     int resets;                           /* losses that were no crash */
-    uint64_t doubted;                     /* a crash to confirm; 0: none */
+    uint64_t unconfirmed_crash;           /* a crash to confirm; 0: none */
     int64_t lost_at;
 };
 
-struct sas_guard {
+struct sas_poison_guard {
     uv_loop_t *loop;
     const struct sas_model *model;
-    struct sas_guard_listener *listener;
+    struct sas_poison_guard_listener *listener;
     struct sas_metrics *metrics;
-    int suspected;
-    int voided;
+    int suspected_counter;
+    int dismissed_counter;
     struct sas_quarantine core;
     struct backend_row *backends;
     struct sas_rpc_quarantine rows[SAS_RPC_MAX_QUARANTINES];
     struct sas_rpc_crash crashes[SAS_RPC_MAX_QUARANTINES][SAS_RPC_MAX_CRASHES];
 };
 
-struct sas_guard *
-SasGuard_Open(uv_loop_t *loop, const struct sas_model *model,
-              const struct sas_counters *counters,
-              struct sas_guard_listener *listener)
+struct sas_poison_guard *
+SasPoisonGuard_Open(uv_loop_t *loop, const struct sas_model *model,
+                    const struct sas_counters *counters,
+                    struct sas_poison_guard_listener *listener)
 {
-    struct sas_guard *guard = g_new0(struct sas_guard, 1);
+    struct sas_poison_guard *guard = g_new0(struct sas_poison_guard, 1);
     guard->loop = loop;
     guard->model = model;
     guard->listener = listener;
     guard->metrics = counters->metrics;
     guard->backends = g_new0(struct backend_row, model->backend_count);
-    guard->suspected = SasMetrics_Register(
+    guard->suspected_counter = SasMetrics_Register(
         guard->metrics, "sas_suspected_total", NULL, NULL,
         "Requests whose connection was lost while they ran");
-    guard->voided = SasMetrics_Register(
+    guard->dismissed_counter = SasMetrics_Register(
         guard->metrics, "sas_suspicions_voided_total", NULL, NULL,
         "Lost connections whose backend server had not crashed");
     SasQuarantine_Init(&guard->core);
@@ -50,32 +50,33 @@
 }
 
 void
-SasGuard_Close(struct sas_guard *guard)
+SasPoisonGuard_Close(struct sas_poison_guard *guard)
 {
     g_free(guard->backends);
     g_free(guard);
 }
 
 static int64_t
-get_now(const struct sas_guard *guard)
+get_now(const struct sas_poison_guard *guard)
 {
     return (int64_t)uv_now(guard->loop);
 }
 
 enum sas_quarantine_verdict
-SasGuard_Check(struct sas_guard *guard, struct sas_fingerprint fingerprint,
-               int *retry_after_s)
+SasPoisonGuard_Check(struct sas_poison_guard *guard,
+                     struct sas_fingerprint fingerprint, int *retry_after_s)
 {
     return SasQuarantine_Check(&guard->core, fingerprint, get_now(guard),
                                retry_after_s);
 }
 
 bool
-SasGuard_BeginTrial(struct sas_guard *guard,
-                    struct sas_fingerprint fingerprint, int64_t lasts_ms)
+SasPoisonGuard_BeginIsolatedRun(struct sas_poison_guard *guard,
+                                struct sas_fingerprint fingerprint,
+                                int64_t max_run_ms)
 {
-    bool begun = SasQuarantine_BeginTrial(&guard->core, fingerprint, lasts_ms,
-                                          get_now(guard));
+    bool begun = SasQuarantine_BeginTrial(&guard->core, fingerprint,
+                                          max_run_ms, get_now(guard));
     if (begun) {
         guard->listener->on_change(guard->listener);
     }
@@ -83,29 +84,30 @@
 }
 
 void
-SasGuard_NoteLost(struct sas_guard *guard, struct sas_fingerprint fingerprint,
-                  int backend, bool alone)
+SasPoisonGuard_NoteLost(struct sas_poison_guard *guard,
+                        struct sas_fingerprint fingerprint, int backend,
+                        bool isolated)
 {
     struct backend_row *row = &guard->backends[backend];
     const char *name = guard->model->backends[backend].name;
     int64_t now = get_now(guard);
     uint64_t crash =
         SasQuarantine_GetCrash(name, row->incarnation, row->resets);
-    SasQuarantine_Suspect(&guard->core, fingerprint, crash, alone, now);
-    SasMetrics_Add(guard->metrics, guard->suspected, 1);
+    SasQuarantine_Suspect(&guard->core, fingerprint, crash, isolated, now);
+    SasMetrics_Add(guard->metrics, guard->suspected_counter, 1);
     SasLog_Write(SasLog_WARN, "guard.suspect", name,
                  "connection lost in mid-run of request %" G_GINT64_MODIFIER
                  "x%s",
-                 fingerprint.low, alone ? ", which ran alone" : "");
-    row->doubted = crash;
+                 fingerprint.low, isolated ? ", which ran alone" : "");
+    row->unconfirmed_crash = crash;
     row->lost_at = now;
     guard->listener->on_change(guard->listener);
-    guard->listener->on_doubt(guard->listener, backend);
+    guard->listener->on_crash_suspected(guard->listener, backend);
 }
 
 void
-SasGuard_NoteSurvived(struct sas_guard *guard,
-                      struct sas_fingerprint fingerprint)
+SasPoisonGuard_NoteCompleted(struct sas_poison_guard *guard,
+                             struct sas_fingerprint fingerprint)
 {
     SasQuarantine_Clear(&guard->core, fingerprint, get_now(guard));
     guard->listener->on_change(guard->listener);
@@ -116,19 +118,20 @@
  * it. The same incarnation answering a probe that began after the loss
  * proves that the backend server lived on. */
 void
-SasGuard_TakeProbe(struct sas_guard *guard, int backend,
-                   const struct sas_load_report *report)
+SasPoisonGuard_ApplyProbe(struct sas_poison_guard *guard, int backend,
+                          const struct sas_load_report *report)
 {
     struct backend_row *row = &guard->backends[backend];
     bool same = strcmp(row->incarnation, report->incarnation) == 0;
-    if (row->doubted != 0 && report->asked_at >= row->lost_at) {
+    if (row->unconfirmed_crash != 0 && report->asked_at >= row->lost_at) {
         if (same) {
             row->resets++;
-            SasQuarantine_Void(&guard->core, row->doubted, get_now(guard));
-            SasMetrics_Add(guard->metrics, guard->voided, 1);
+            SasQuarantine_Void(&guard->core, row->unconfirmed_crash,
+                               get_now(guard));
+            SasMetrics_Add(guard->metrics, guard->dismissed_counter, 1);
             guard->listener->on_change(guard->listener);
         }
-        row->doubted = 0;
+        row->unconfirmed_crash = 0;
     }
     if (!same) {
         g_strlcpy(row->incarnation, report->incarnation,
@@ -140,8 +143,8 @@
 /* Peers. */
 
 int
-SasGuard_FillEntries(struct sas_guard *guard,
-                     struct sas_rpc_quarantine **entries)
+SasPoisonGuard_FillEntries(struct sas_poison_guard *guard,
+                           struct sas_rpc_quarantine **entries)
 {
     struct sas_quarantine_entry entry;
     int64_t now = get_now(guard);
@@ -167,16 +170,17 @@
 }
 
 static uint64_t
-get_digest(struct sas_guard *guard)
+get_digest(struct sas_poison_guard *guard)
 {
     return SasQuarantine_GetDigest(&guard->core, 0, INT64_MAX, get_now(guard));
 }
 
 bool
-SasGuard_TakeEntries(struct sas_guard *guard,
-                     const struct sas_rpc_quarantine *entries, int count)
+SasPoisonGuard_ApplyEntries(struct sas_poison_guard *guard,
+                            const struct sas_rpc_quarantine *entries,
+                            int count)
 {
-    uint64_t before = get_digest(guard);
+    uint64_t old_digest = get_digest(guard);
     for (int i = 0; i < count; i++) {
         const struct sas_rpc_quarantine *row = &entries[i];
         struct sas_quarantine_entry entry = {
@@ -193,5 +197,5 @@
         }
         SasQuarantine_Merge(&guard->core, &entry, get_now(guard));
     }
-    return get_digest(guard) != before;
+    return get_digest(guard) != old_digest;
 }
--- a/packages/node/src/reasons.c
+++ b/packages/node/src/refusal.c
@@ -1,4 +1,4 @@
-#include "reasons.h"
+#include "refusal.h"
 
 #include <stddef.h>
 
@@ -36,7 +36,7 @@
 };
 
 const char *
-SasReasons_GetOutcomeName(enum sas_outcome outcome)
+SasRefusal_GetOutcomeName(enum sas_outcome outcome)
 {
     switch (outcome) {
     case SAS_OUTCOME_NOT_RUN:
@@ -50,13 +50,13 @@
 }
 
 const char *
-SasReasons_GetName(enum sas_refusal reason)
+SasRefusal_GetName(enum sas_refusal reason)
 {
     return reasons[reason].name;
 }
 
 int
-SasReasons_GetStatus(enum sas_refusal reason)
+SasRefusal_GetStatus(enum sas_refusal reason)
 {
     return reasons[reason].status;
 }
@@ -68,7 +68,7 @@
 }
 
 void
-SasReasons_RegisterCounters(struct sas_counters *counters,
+SasRefusal_RegisterCounters(struct sas_counters *counters,
                             struct sas_metrics *metrics)
 {
     counters->metrics = metrics;
@@ -95,10 +95,10 @@
             SasRetry_GetVerdictName((enum sas_retry_verdict)i),
             "Failed tries that were not repeated, by reason");
     }
-    counters->late_bytes =
+    counters->connections_ended =
         register_plain(metrics, "sas_backend_connections_ended_total",
                        "Connections ended after an answer");
-    counters->condemned =
+    counters->closed_stale =
         register_plain(metrics, "sas_backend_connections_condemned_total",
                        "Connections closed because one of their age was "
                        "silent");
--- a/packages/node/src/reasons.h
+++ b/packages/node/src/refusal.h
@@ -1,7 +1,7 @@
 /* reasons - why a request was refused or tried again; a counter for each.
  */
-#ifndef SAS_REASONS_H
-#define SAS_REASONS_H
+#ifndef SAS_REFUSAL_H
+#define SAS_REFUSAL_H
 
 #include <stdint.h>
 
@@ -44,11 +44,11 @@
 };
 
 /* Names as in Sas-Outcome and Sas-Reason. */
-const char *SasReasons_GetOutcomeName(enum sas_outcome outcome);
-const char *SasReasons_GetName(enum sas_refusal reason);
+const char *SasRefusal_GetOutcomeName(enum sas_outcome outcome);
+const char *SasRefusal_GetName(enum sas_refusal reason);
 
 /* The HTTP status that goes with a refusal. */
-int SasReasons_GetStatus(enum sas_refusal reason);
+int SasRefusal_GetStatus(enum sas_refusal reason);
 
 /* Handles of all counters that the node keeps. */
 struct sas_counters {
@@ -59,13 +59,13 @@
     int lookups;
     int retries[SAS_RETRY_REASONS];
     int retries_denied[SAS_RETRY_VERDICTS];
-    int late_bytes;
-    int condemned;
+    int connections_ended;
+    int closed_stale;
     int cross_region;
     int aborted;
 };
 
-void SasReasons_RegisterCounters(struct sas_counters *counters,
+void SasRefusal_RegisterCounters(struct sas_counters *counters,
                                  struct sas_metrics *metrics);
 
 #endif
--- a/packages/node/src/live_sheet.h
+++ b/packages/node/src/sheet_task.h
@@ -8,8 +8,8 @@
  * a sheet died before it could tell. What the sheet orders is put in force
  * through sas/steering.h.
  */
-#ifndef SAS_LIVE_SHEET_H
-#define SAS_LIVE_SHEET_H
+#ifndef SAS_SHEET_TASK_H
+#define SAS_SHEET_TASK_H
 
 #include <uv.h>
 
@@ -18,9 +18,9 @@
 #include "sas/steering.h"
 #include "sas/store.h"
 
-struct sas_live_sheet;
+struct sas_sheet_task;
 
-struct sas_live_sheet_parts {
+struct sas_sheet_task_options {
     uv_loop_t *loop;
     struct sas_fleet *fleet;
     struct sas_gateway *gateway;
@@ -33,12 +33,12 @@
 
 /* Opening and closing; the parts stay the caller's and outlive it. Close
  * needs one more turn of the loop. */
-struct sas_live_sheet *
-SasLiveSheet_Open(const struct sas_live_sheet_parts *parts,
+struct sas_sheet_task *
+SasSheetTask_Open(const struct sas_sheet_task_options *options,
                   struct sas_error *error);
-void SasLiveSheet_Close(struct sas_live_sheet *sheet);
+void SasSheetTask_Close(struct sas_sheet_task *task);
 
 /* Takes no call of operators any more; how many wait for the store. */
-int SasLiveSheet_End(struct sas_live_sheet *sheet);
+int SasSheetTask_End(struct sas_sheet_task *task);
 
 #endif
--- a/packages/node/src/signals.c
+++ b/packages/node/src/signals.c
@@ -3,7 +3,7 @@
 #include <signal.h>
 
 static void
-change(int how)
+change_mask(int how)
 {
     sigset_t set;
     sigemptyset(&set);
@@ -14,13 +14,13 @@
 }
 
 void
-SasSignals_Hold(void)
+SasSignals_Block(void)
 {
-    change(SIG_BLOCK);
+    change_mask(SIG_BLOCK);
 }
 
 void
-SasSignals_Release(void)
+SasSignals_Unblock(void)
 {
-    change(SIG_UNBLOCK);
+    change_mask(SIG_UNBLOCK);
 }
--- a/packages/node/src/signals.h
+++ b/packages/node/src/signals.h
@@ -9,7 +9,7 @@
 #ifndef SAS_SIGNALS_H
 #define SAS_SIGNALS_H
 
-void SasSignals_Hold(void);
-void SasSignals_Release(void);
+void SasSignals_Block(void);
+void SasSignals_Unblock(void);
 
 #endif
--- a/packages/node/src/describe.c
+++ b/packages/node/src/status_json.c
@@ -1,12 +1,12 @@
-#include "describe.h"
+#include "status_json.h"
 
 #include <math.h>
 
 #include <glib.h>
 
 json_t *
-SasDescribe_Region(const struct sas_model *model, int service, int region,
-                   double headroom)
+SasStatusJson_DescribeRegion(const struct sas_model *model, int service,
+                             int region, double headroom)
 {
     int slots = SasModel_CountSlots(model, service, region);
     int free_slots = (int)lround(headroom * slots);
@@ -17,7 +17,8 @@
 }
 
 json_t *
-SasDescribe_Shift(const struct sas_model *model, const struct sas_shift *shift)
+SasStatusJson_DescribeShift(const struct sas_model *model,
+                            const struct sas_shift *shift)
 {
     g_autofree char *cap =
         shift->cap_unit == SAS_CAP_NONE
--- /dev/null
+++ b/packages/node/src/status_json.h
@@ -0,0 +1,17 @@
+/* describe - rows of the status that operators see, the same in both modes.
+ */
+#ifndef SAS_STATUS_JSON_H
+#define SAS_STATUS_JSON_H
+
+#include <jansson.h>
+
+#include "sas/model.h"
+#include "sas/plan.h"
+
+/* headroom: the part of the region's slots that is free, 0 to 1. */
+json_t *SasStatusJson_DescribeRegion(const struct sas_model *model,
+                                     int service, int region, double headroom);
+json_t *SasStatusJson_DescribeShift(const struct sas_model *model,
+                                    const struct sas_shift *shift);
+
+#endif
