--- a/packages/node/src/upstream.c
+++ b/packages/node/src/upstream.c
@@ -19,9 +19,9 @@
     struct probe *probe; /* the one in progress, or NULL */
     int last_reported;   /* running and queued, as last stated */
     int64_t last_report_at;
-    int64_t no_reuse_until;     /* it sent bytes that nobody asked for */
-    int64_t last_new_answer_at; /* a connection opened at or after this
-                                   moment has answered */
+    int64_t reuse_disabled_until; /* it sent bytes that nobody asked for */
+    int64_t newest_answered_at;   /* a connection opened at or after this
+                                     moment has answered */
 };
 
 struct sas_upstream {
@@ -116,7 +116,7 @@
 void
 SasUpstream_Send(struct sas_upstream *upstream, int backend,
                  const struct sas_http_request *request, int64_t timeout_ms,
-                 bool fresh, const struct sas_upstream_vtable *vtable,
+                 bool new_connection, const struct sas_upstream_vtable *vtable,
                  struct sas_upstream_call *call)
 {
     struct backend_state *state = &upstream->states[backend];
@@ -125,7 +125,7 @@
      * from, without either end being told. What may not repeat can't be tried
      * again, so it goes over a new one, which costs one round trip. */
     struct sas_http_conn *conn = NULL;
-    if (!fresh && now >= state->no_reuse_until) {
+    if (!new_connection && now >= state->reuse_disabled_until) {
         conn = g_queue_pop_head(&state->idle);
     }
     call->user.vtable = &call_vtable;
@@ -178,15 +178,15 @@
     int share = upstream->model->backends[backend].connections /
                 upstream->model->vm_count;
     return !upstream->closing && (int)state->idle.length < MAX(share / 2, 1) &&
-           (int64_t)uv_now(upstream->loop) >= state->no_reuse_until;
+           (int64_t)uv_now(upstream->loop) >= state->reuse_disabled_until;
 }
 
 /* Calls. */
 
 /* Keeps a report for check_call() and passes it on. */
 static void
-take_report(struct sas_upstream *upstream, int backend,
-            const struct sas_load_report *report)
+apply_report(struct sas_upstream *upstream, int backend,
+             const struct sas_load_report *report)
 {
     struct backend_state *state = &upstream->states[backend];
     state->last_reported = report->running + report->queued;
@@ -195,27 +195,27 @@
 }
 
 static int
-find_number(const char *text, const char *name, int otherwise)
+parse_number(const char *text, const char *name, int fallback)
 {
     const char *at = strstr(text, name);
-    return at != NULL ? atoi(at + strlen(name)) : otherwise;
+    return at != NULL ? atoi(at + strlen(name)) : fallback;
 }
 
 static void
-take_load_header(struct sas_upstream *upstream, int backend,
-                 const struct sas_http_header *headers, int header_count)
+apply_load_header(struct sas_upstream *upstream, int backend,
+                  const struct sas_http_header *headers, int header_count)
 {
     const char *value = SasHttp_FindHeader(headers, header_count, "sas-load");
     if (value == NULL) {
         return;
     }
     struct sas_load_report report = {
-        .running = find_number(value, "running=", 0),
-        .queued = find_number(value, "queued=", 0),
-        .slots = find_number(value, "slots=", 0),
-        .leaving = find_number(value, "leaving=", 0) != 0,
+        .running = parse_number(value, "running=", 0),
+        .queued = parse_number(value, "queued=", 0),
+        .slots = parse_number(value, "slots=", 0),
+        .leaving = parse_number(value, "leaving=", 0) != 0,
     };
-    take_report(upstream, backend, &report);
+    apply_report(upstream, backend, &report);
 }
 
 /* A connection opened at this moment has just answered. */
@@ -223,8 +223,8 @@
 note_answer(struct sas_upstream *upstream, int backend, int64_t opened_at)
 {
     struct backend_state *state = &upstream->states[backend];
-    if (opened_at > state->last_new_answer_at) {
-        state->last_new_answer_at = opened_at;
+    if (opened_at > state->newest_answered_at) {
+        state->newest_answered_at = opened_at;
     }
     upstream->listener->on_health(upstream->listener, backend, true);
 }
@@ -235,10 +235,10 @@
  * coming while nothing was asked; from then on that server gets a new
  * connection for each request, on which nothing old can arrive. */
 static void
-distrust_reuse(struct sas_upstream *upstream, int backend)
+disable_reuse(struct sas_upstream *upstream, int backend)
 {
     struct backend_state *state = &upstream->states[backend];
-    state->no_reuse_until =
+    state->reuse_disabled_until =
         (int64_t)uv_now(upstream->loop) + SasUpstream_NO_REUSE_MS;
     while (!g_queue_is_empty(&state->idle)) {
         SasHttp_Close(g_queue_peek_head(&state->idle));
@@ -246,8 +246,8 @@
 }
 
 static bool
-is_other_answer(const struct sas_upstream_call *call,
-                const struct sas_http_header *headers, int header_count)
+is_mismatched_answer(const struct sas_upstream_call *call,
+                     const struct sas_http_header *headers, int header_count)
 {
     const char *id =
         SasHttp_FindHeader(headers, header_count, "sas-request-id");
@@ -255,7 +255,7 @@
 }
 
 static void
-fail_other_answer(struct sas_upstream_call *call)
+fail_mismatched_answer(struct sas_upstream_call *call)
 {
     struct sas_http_failure failure = {.sent = true, .written = true};
     SasError_Set(&failure.error, SAS_EIO, "upstream.answer",
@@ -264,7 +264,7 @@
     SasLog_WriteError(SasLog_WARN, &failure.error);
     remove_call(call);
     SasHttp_Close(call->conn);
-    distrust_reuse(call->upstream, call->backend);
+    disable_reuse(call->upstream, call->backend);
     call->vtable->on_fail(call, &failure);
 }
 
@@ -273,14 +273,14 @@
              const struct sas_http_header *headers, int header_count)
 {
     struct sas_upstream_call *call = (struct sas_upstream_call *)user;
-    if (is_other_answer(call, headers, header_count)) {
-        fail_other_answer(call);
+    if (is_mismatched_answer(call, headers, header_count)) {
+        fail_mismatched_answer(call);
         return;
     }
     call->head_seen = true;
     note_answer(call->upstream, call->backend,
                 SasHttp_GetOpenedAt(call->conn));
-    take_load_header(call->upstream, call->backend, headers, header_count);
+    apply_load_header(call->upstream, call->backend, headers, header_count);
     call->vtable->on_head(call, status, headers, header_count);
 }
 
@@ -305,7 +305,7 @@
     }
     else {
         SasMetrics_Add(upstream->counters->metrics,
-                       upstream->counters->late_bytes, 1);
+                       upstream->counters->connections_ended, 1);
     }
     call->vtable->on_end(call, whole);
 }
@@ -341,7 +341,7 @@
         SasLog_Write(SasLog_WARN, "upstream.read",
                      state->upstream->model->backends[state->backend].name,
                      "bytes that belong to no request");
-        distrust_reuse(state->upstream, state->backend);
+        disable_reuse(state->upstream, state->backend);
     }
 }
 
@@ -374,7 +374,7 @@
 }
 
 static void
-take_probe_answer(struct probe *probe)
+apply_probe_answer(struct probe *probe)
 {
     json_t *object = json_loadb(probe->body->str, probe->body->len, 0, NULL);
     if (!json_is_object(object)) {
@@ -393,7 +393,7 @@
     snprintf(report.incarnation, sizeof(report.incarnation), "%s",
              incarnation != NULL ? incarnation : "");
     json_decref(object);
-    take_report(probe->upstream, probe->backend, &report);
+    apply_report(probe->upstream, probe->backend, &report);
 }
 
 static void
@@ -417,7 +417,7 @@
     }
     if (whole) {
         note_answer(upstream, probe->backend, probe->opened_at);
-        take_probe_answer(probe);
+        apply_probe_answer(probe);
     }
     end_probe(probe);
 }
@@ -466,8 +466,8 @@
 
 /* Closes the idle connections that are as old as a silent one. */
 static void
-condemn_idle(struct sas_upstream *upstream, struct backend_state *state,
-             int64_t opened_at)
+close_stale_idle(struct sas_upstream *upstream, struct backend_state *state,
+                 int64_t opened_at)
 {
     GList *link = state->idle.head;
     while (link != NULL) {
@@ -475,7 +475,7 @@
         link = link->next;
         if (SasHttp_GetOpenedAt(conn) <= opened_at) {
             SasMetrics_Add(upstream->counters->metrics,
-                           upstream->counters->condemned, 1);
+                           upstream->counters->closed_stale, 1);
             SasHttp_Close(conn); /* leaves the idle list by on_closed */
         }
     }
@@ -495,7 +495,7 @@
         return;
     }
     int64_t opened_at = SasHttp_GetOpenedAt(call->conn);
-    bool newer_answered = state->last_new_answer_at >= call->started_at &&
+    bool newer_answered = state->newest_answered_at >= call->started_at &&
                           state->last_report_at >= call->started_at;
     if (!newer_answered) {
         SasUpstream_Probe(upstream, call->backend);
@@ -503,11 +503,12 @@
     }
     /* A long request looks the same from here, but the backend server then
      * counts it among those that it runs or has queued. */
-    bool missing = state->last_reported < (int)g_list_length(state->calls);
-    if (missing) {
-        condemn_idle(upstream, state, opened_at);
+    bool unknown_to_server =
+        state->last_reported < (int)g_list_length(state->calls);
+    if (unknown_to_server) {
+        close_stale_idle(upstream, state, opened_at);
     }
-    call->vtable->on_stall(call, missing);
+    call->vtable->on_stall(call, unknown_to_server);
 }
 
 static void
--- a/packages/node/src/upstream.h
+++ b/packages/node/src/upstream.h
@@ -9,7 +9,7 @@
 
 #include <stdbool.h>
 
-#include "reasons.h"
+#include "refusal.h"
 #include "sas/http.h"
 
 #define SasUpstream_ID_SIZE 96
@@ -29,7 +29,7 @@
      * before, although a new connection to the same backend server works.
      * missing: the backend server states fewer requests than we have there.
      * Told again and again until the call is cancelled or answered. */
-    void (*on_stall)(struct sas_upstream_call *call, bool missing);
+    void (*on_stall)(struct sas_upstream_call *call, bool unknown_to_server);
 };
 
 /* The caller embeds it as first member. */
@@ -74,7 +74,7 @@
 /* Sends a request. fresh: over a new connection (for what may not repeat). */
 void SasUpstream_Send(struct sas_upstream *upstream, int backend,
                       const struct sas_http_request *request,
-                      int64_t timeout_ms, bool fresh,
+                      int64_t timeout_ms, bool new_connection,
                       const struct sas_upstream_vtable *vtable,
                       struct sas_upstream_call *call);
 
