--- a/packages/node/src/forward.c
+++ b/packages/node/src/forward.c
@@ -113,16 +113,16 @@
 enum sas_quarantine_verdict
 SasForwardCall_CheckPoison(struct sas_forward_call *call, int *retry_after_s)
 {
-    enum sas_quarantine_verdict verdict = SasPoisonGuard_Check(
+    enum sas_quarantine_verdict decision = SasPoisonGuard_Check(
         call->forward->options.poison_guard, call->fingerprint, retry_after_s);
     /* The trial that is under way is this call's own, and its first backend
      * server could not be reached. */
-    if (verdict == SAS_QUARANTINE_WAIT && call->isolated_run) {
-        verdict = SAS_QUARANTINE_ALONE;
+    if (decision == SAS_QUARANTINE_WAIT && call->isolated_run) {
+        decision = SAS_QUARANTINE_ALONE;
     }
-    call->query.isolated = verdict == SAS_QUARANTINE_ALONE;
+    call->query.isolated = decision == SAS_QUARANTINE_ALONE;
     call->query.fingerprint = call->fingerprint.low;
-    return verdict;
+    return decision;
 }
 
 /* True when the request may run, else it has been refused. */
@@ -130,14 +130,14 @@
 check_poison(struct sas_forward_call *call)
 {
     int retry_after_s = 0;
-    enum sas_quarantine_verdict verdict =
+    enum sas_quarantine_verdict decision =
         SasForwardCall_CheckPoison(call, &retry_after_s);
-    if (verdict == SAS_QUARANTINE_WAIT) {
+    if (decision == SAS_QUARANTINE_WAIT) {
         SasForwardCall_Refuse(call, SAS_REFUSE_SUSPECT, SAS_OUTCOME_NOT_RUN,
                               retry_after_s);
         return false;
     }
-    if (verdict == SAS_QUARANTINE_REFUSE) {
+    if (decision == SAS_QUARANTINE_REFUSE) {
         /* An earlier sending of it ran, in part at least. */
         SasForwardCall_Refuse(call, SAS_REFUSE_QUARANTINED,
                               SAS_OUTCOME_UNKNOWN, retry_after_s);
--- a/packages/node/src/forward_attempt.c
+++ b/packages/node/src/forward_attempt.c
@@ -221,17 +221,17 @@
     int service = call->request.service;
     int64_t now = (int64_t)uv_now(forward->options.loop);
     int start = forward->candidate_starts[service];
-    enum sas_retry_verdict verdict =
+    enum sas_retry_verdict decision =
         SasRetry_MayRetry(&forward->retries[service], reason, call->idempotent,
                           may_have_run ? SAS_RETRY_UNKNOWN : SAS_RETRY_NOT_RUN,
                           call->deadline_at - now, call->query.tried,
                           call->query.tried_count, forward->candidates + start,
                           forward->candidate_starts[service + 1] - start, now);
     bool granted =
-        verdict == SAS_RETRY_YES && call->attempts < SasRetry_MAX_TRIES;
+        decision == SAS_RETRY_YES && call->attempts < SasRetry_MAX_TRIES;
     SasMetrics_Add(counters->metrics,
                    granted ? counters->retries[reason]
-                           : counters->retries_denied[verdict],
+                           : counters->retries_denied[decision],
                    1);
     return granted;
 }
@@ -257,10 +257,10 @@
     g_string_truncate(call->buffered, 0);
     g_array_set_size(call->answer_headers, 0);
     int retry_after_s = 0;
-    enum sas_quarantine_verdict verdict =
+    enum sas_quarantine_verdict decision =
         SasForwardCall_CheckPoison(call, &retry_after_s);
     bool allowed =
-        verdict == SAS_QUARANTINE_ALLOW || verdict == SAS_QUARANTINE_ALONE;
+        decision == SAS_QUARANTINE_ALLOW || decision == SAS_QUARANTINE_ALONE;
     if (call->reply == NULL || !allowed ||
         !may_retry(call, why, may_have_run)) {
         SasForwardCall_Refuse(
--- a/packages/node/src/poison_guard.c
+++ b/packages/node/src/poison_guard.c
@@ -9,9 +9,9 @@
 #include "sas/metrics.h"
 
 struct backend_row {
-    char incarnation[SasModel_NAME_SIZE]; /* as it said last */
-    int resets;                           /* losses that were no crash */
-    uint64_t unconfirmed_crash;           /* a crash to confirm; 0: none */
+    char incarnation[SasModel_NAME_SIZE]; /* in its last probe answer */
+    int resets; /* lost connections of this incarnation without a crash */
+    uint64_t unconfirmed_crash; /* awaits a probe; 0: none */
     int64_t lost_at;
 };
 
@@ -96,9 +96,8 @@
     SasQuarantine_Suspect(&guard->core, fingerprint, crash, isolated, now);
     SasMetrics_Add(guard->metrics, guard->suspected_counter, 1);
     SasLog_Write(SasLog_WARN, "guard.suspect", name,
-                 "connection lost in mid-run of request %" G_GINT64_MODIFIER
-                 "x%s",
-                 fingerprint.low, isolated ? ", which ran alone" : "");
+                 "connection lost during request %" G_GINT64_MODIFIER "x%s",
+                 fingerprint.low, isolated ? ", an isolated run" : "");
     row->unconfirmed_crash = crash;
     row->lost_at = now;
     guard->listener->on_change(guard->listener);
@@ -113,10 +112,10 @@
     guard->listener->on_change(guard->listener);
 }
 
-/* A connection may be lost for other reasons than a crash: a reset on the
- * way, a restart of a device. Such a loss must not condemn the requests on
- * it. The same incarnation answering a probe that began after the loss
- * proves that the backend server lived on. */
+/* A connection may be lost without a crash, for example by the restart of a
+ * device on the way. A probe begun after the loss and answered by the same
+ * incarnation shows that the backend server did not crash: the suspicion of
+ * the requests on that connection is dismissed. */
 void
 SasPoisonGuard_ApplyProbe(struct sas_poison_guard *guard, int backend,
                           const struct sas_load_report *report)
--- a/packages/node/src/poison_guard.h
+++ b/packages/node/src/poison_guard.h
@@ -1,7 +1,7 @@
-/* guard - requests that crash the backend servers that run them.
+/* poison_guard - finds requests that crash the backend servers that run them.
  *
- * Glue between the core's quarantine (sas/quarantine.h), the forwarder, the
- * probes and the peers.
+ * Connects the core's quarantine (sas/quarantine.h) with the forwarder, the
+ * load probes and the peers. Times are loop milliseconds.
  */
 #ifndef SAS_POISON_GUARD_H
 #define SAS_POISON_GUARD_H
@@ -20,11 +20,12 @@
 
 struct sas_poison_guard;
 
-/* Who is told; embedded as first member. */
+/* Embedded as first member. */
 struct sas_poison_guard_listener {
-    /* Peers should hear of a suspicion at once. */
+    /* Entries changed; they are to be sent to the peers at once. */
     void (*on_change)(struct sas_poison_guard_listener *listener);
-    /* A backend server's connection was lost: ask whether it still lives. */
+    /* A connection was lost in mid-request; a probe is to tell whether the
+     * backend server crashed. */
     void (*on_crash_suspected)(struct sas_poison_guard_listener *listener,
                                int backend);
 };
@@ -35,30 +36,35 @@
                     struct sas_poison_guard_listener *listener);
 void SasPoisonGuard_Close(struct sas_poison_guard *guard);
 
-/* Whether and how a request may run. */
+/* Whether a request may run, and whether only isolated. Sets *retry_after_s
+ * when it may not. */
 enum sas_quarantine_verdict
 SasPoisonGuard_Check(struct sas_poison_guard *guard,
                      struct sas_fingerprint fingerprint, int *retry_after_s);
 
-/* Before a run alone that ends within lasts_ms; false: one is running. */
+/* Before an isolated run that ends within max_run_ms; false when one is in
+ * progress. */
 bool SasPoisonGuard_BeginIsolatedRun(struct sas_poison_guard *guard,
                                      struct sas_fingerprint fingerprint,
                                      int64_t max_run_ms);
 
-/* The connection was lost while the request ran on this backend server. */
+/* The connection was lost while the request ran on this backend server;
+ * isolated: in an isolated run. */
 void SasPoisonGuard_NoteLost(struct sas_poison_guard *guard,
                              struct sas_fingerprint fingerprint, int backend,
                              bool isolated);
 
-/* The request ran alone to a whole answer. */
+/* An isolated run ended with an answer: the request is cleared. */
 void SasPoisonGuard_NoteCompleted(struct sas_poison_guard *guard,
                                   struct sas_fingerprint fingerprint);
 
-/* A backend server's answer to a probe. */
+/* A backend server's answer to a load probe confirms or dismisses the crash
+ * suspected there. */
 void SasPoisonGuard_ApplyProbe(struct sas_poison_guard *guard, int backend,
                                const struct sas_load_report *report);
 
-/* Peers. Entries live until the next call. Take is true for something new. */
+/* Exchange with peers. Fill returns the number of entries, valid until the
+ * next call. Apply returns true when an entry was new or changed. */
 int SasPoisonGuard_FillEntries(struct sas_poison_guard *guard,
                                struct sas_rpc_quarantine **entries);
 bool SasPoisonGuard_ApplyEntries(struct sas_poison_guard *guard,
--- a/packages/node/src/refusal.h
+++ b/packages/node/src/refusal.h
@@ -1,4 +1,4 @@
-/* reasons - why a request was refused or tried again; a counter for each.
+/* refusal - reasons and outcomes of refused requests, and the node's counters.
  */
 #ifndef SAS_REFUSAL_H
 #define SAS_REFUSAL_H
@@ -11,8 +11,8 @@
 
 /* What is known about whether a request ran. */
 enum sas_outcome {
-    SAS_OUTCOME_NOT_RUN, /* no byte reached a backend server, or it said so */
-    SAS_OUTCOME_RAN,     /* it ran; its answer is lost or kept elsewhere */
+    SAS_OUTCOME_NOT_RUN, /* no byte was sent, or the server shed it */
+    SAS_OUTCOME_RAN,     /* it ran, but its answer is not available */
     SAS_OUTCOME_UNKNOWN
 };
 
@@ -29,28 +29,28 @@
     SAS_REFUSE_NO_BACKEND,
     SAS_REFUSE_DEADLINE,
     SAS_REFUSE_SHED,
-    SAS_REFUSE_LOST,
-    SAS_REFUSE_ANSWER_CUT,
-    SAS_REFUSE_ANSWER_UNFRAMED,
-    SAS_REFUSE_QUARANTINED,
-    SAS_REFUSE_SUSPECT,
+    SAS_REFUSE_LOST,            /* connection lost before an answer */
+    SAS_REFUSE_ANSWER_CUT,      /* connection lost within the answer */
+    SAS_REFUSE_ANSWER_UNFRAMED, /* ended by a close, may be truncated */
+    SAS_REFUSE_QUARANTINED,     /* it crashed backend servers */
+    SAS_REFUSE_SUSPECT,         /* its isolated run is in progress */
     SAS_REFUSE_KEY_MISSING,
-    SAS_REFUSE_KEY_REUSED,
-    SAS_REFUSE_CLAIM_STORE,
-    SAS_REFUSE_CLAIM_RUNNING,
-    SAS_REFUSE_CLAIM_LOST,
+    SAS_REFUSE_KEY_REUSED,    /* the idempotency key names another request */
+    SAS_REFUSE_CLAIM_STORE,   /* the claim could not be made */
+    SAS_REFUSE_CLAIM_RUNNING, /* another attempt may hold the claim */
+    SAS_REFUSE_CLAIM_LOST,    /* it ran, its answer is not stored */
     SAS_REFUSE_CALLER_GONE,
     SAS_REFUSE_COUNT
 };
 
-/* Names as in Sas-Outcome and Sas-Reason. */
+/* Values of the headers Sas-Outcome and Sas-Reason. */
 const char *SasRefusal_GetOutcomeName(enum sas_outcome outcome);
 const char *SasRefusal_GetName(enum sas_refusal reason);
 
-/* The HTTP status that goes with a refusal. */
+/* The HTTP status of a refusal. */
 int SasRefusal_GetStatus(enum sas_refusal reason);
 
-/* Handles of all counters that the node keeps. */
+/* Handles of the node's counters. */
 struct sas_counters {
     struct sas_metrics *metrics;
     int refusals[SAS_REFUSE_COUNT];
--- a/packages/node/src/router.c
+++ b/packages/node/src/router.c
@@ -8,7 +8,7 @@
 #include "router_state.h"
 
 #define TICK_MS 250
-#define UNKNOWN_HEADROOM 0.25
+#define DEFAULT_HEADROOM 0.25 /* share of slots, without recent reports */
 
 static void on_tick(uv_timer_t *timer);
 
@@ -58,7 +58,7 @@
                             : SasSteer_DEFAULT_PLACEMENT);
     if (router->placement == NULL) {
         SasError_Set(error, SAS_EINVAL, "steer.open", NULL,
-                     "no placement policy is called %s", placement);
+                     "unknown placement policy %s", placement);
         free_tables(router);
         return NULL;
     }
@@ -67,7 +67,7 @@
             SasRouterState_CountOwnedSlots(router, i);
     }
     SasLookup_Init(&router->lookup, model);
-    SasMeasure_Init(&router->measure, model, UNKNOWN_HEADROOM);
+    SasMeasure_Init(&router->measure, model, DEFAULT_HEADROOM);
     uv_timer_init(options->loop, &router->timer);
     router->timer.data = router;
     uv_timer_start(&router->timer, on_tick, TICK_MS, TICK_MS);
--- a/packages/node/src/router.h
+++ b/packages/node/src/router.h
@@ -1,9 +1,9 @@
-/* steer - which region and which backend server run a request, within the
- * budgets for regions, links, shifts and backend servers.
+/* router - chooses the region and the backend server of each request, within
+ * the budgets for execution slots, links and shifts.
  *
- * Glue between the core's decisions (plan, lookup, budget, place, measure)
- * and the node's tasks. A grant takes units from every budget concerned;
- * it must be given back exactly once.
+ * Connects the core's decisions (plan, lookup, budget, place, measure) with
+ * the node's tasks. A grant holds units of every budget concerned and is
+ * released exactly once. Times are loop milliseconds.
  */
 #ifndef SAS_ROUTER_H
 #define SAS_ROUTER_H
@@ -27,12 +27,12 @@
 struct sas_router_query {
     int service;
     uint32_t caller_ip;   /* IPv4, host byte order */
-    bool isolated;        /* on a backend server where nothing else runs */
-    uint64_t fingerprint; /* chooses that backend server */
-    int tried[SasRouter_MAX_TRIED];
+    bool isolated;        /* needs a backend server that runs nothing else */
+    uint64_t fingerprint; /* picks the server of an isolated run */
+    int tried[SasRouter_MAX_TRIED]; /* backend servers to leave out */
     int tried_count;
     int64_t bytes;      /* of the request's body */
-    int64_t max_run_ms; /* it is over by then, whatever comes */
+    int64_t max_run_ms; /* the request has ended by then in any case */
     int64_t waited_ms;  /* for a slot, so far */
 };
 
@@ -45,21 +45,21 @@
     int slots_source; /* of the region's slots budget */
     int cap_source;   /* of a concurrent cap */
     int cap;          /* budget handle of a concurrent cap, or none */
-    int mbit_cap;     /* of a cap in Mbit/s, or none */
-    int link;         /* of the link to another region, or none */
-    int64_t charged;  /* milli-Mbit that were taken from these two */
+    int mbit_cap;     /* budget handle of a cap in Mbit/s, or none */
+    int link;         /* budget handle of the link to the region, or none */
+    int64_t charged;  /* milli-Mbit acquired from mbit_cap and link */
     int64_t request_bytes;
 };
 
 enum sas_router_decision {
     SAS_ROUTER_GRANTED,
-    SAS_ROUTER_WAIT,   /* nothing free now; ask again when told */
+    SAS_ROUTER_WAIT,   /* nothing free; retry after on_capacity */
     SAS_ROUTER_REFUSED /* see *reason */
 };
 
 struct sas_router;
 
-/* Who is told that capacity may have come free; embedded as first member. */
+/* Called when capacity may have come free; embedded as first member. */
 struct sas_router_listener {
     void (*on_capacity)(struct sas_router_listener *listener);
 };
@@ -81,14 +81,14 @@
 void SasRouter_SetListener(struct sas_router *router,
                            struct sas_router_listener *listener);
 
-/* News. */
+/* Updates. */
 
-/* A version was adopted; NULL: there is none yet, nothing is ordered. */
+/* A version was adopted; NULL: the store has none, no shift is ordered. */
 void SasRouter_ApplyConfig(struct sas_router *router,
                            const struct sas_config *config);
 
-/* A backend server's statement, heard now (age 0) or from a peer; the hash of
- * its incarnation, 0 when it is not stated. */
+/* A backend server's load report, received directly (age 0) or from a peer;
+ * incarnation is the hash of the server's, 0 when the report has none. */
 void SasRouter_ApplyLoad(struct sas_router *router, int backend,
                          const struct sas_load_report *report,
                          uint64_t incarnation, int64_t age_ms);
@@ -96,20 +96,22 @@
                            bool reachable);
 void SasRouter_NoteShed(struct sas_router *router, int backend);
 
-/* The platform's list, {"vms":[{"name":...,"state":"live"|"leaving"}]}. */
+/* The platform's list, {"vms":[{"name":...,"state":"live"|"leaving"}]}. Entry
+ * VMs missing from it count as dead; an empty list is ignored. */
 void SasRouter_ApplyVms(struct sas_router *router, const json_t *list);
 
-/* What the peers say of an entry VM. */
+/* State of an entry VM according to the gossip. */
 void SasRouter_ApplyPeer(struct sas_router *router, int vm, bool live,
                          bool leaving);
 
-/* True once a backend server is leaving, whoever said so. */
+/* True while the server itself, the platform or the sheet reports the backend
+ * server as leaving. */
 bool SasRouter_IsLeaving(const struct sas_router *router, int backend);
 
-/* The shares in force here, for the peers; and theirs: a fresh node takes
- * those of the first peer that has any in place of 0, so that a restart in
- * the middle of a ramp does not send its callers home. Fill returns how
- * many. */
+/* Shares in force, exchanged between peers. Fill writes at most max of them
+ * and returns how many. Apply seeds a restarted node once with the shares of
+ * the first peer that has any: starting at 0 in the middle of a ramp would
+ * send its callers back to their home regions. */
 int SasRouter_FillShares(const struct sas_router *router,
                          struct sas_rpc_share *shares, int max);
 void SasRouter_ApplyShares(struct sas_router *router,
@@ -117,23 +119,25 @@
 
 /* Decisions. */
 
-/* Takes units for one request, or says why not. */
+/* Chooses a backend server and acquires units for one request. Fills *grant
+ * when granted, *reason when refused. */
 enum sas_router_decision
 SasRouter_Acquire(struct sas_router *router,
                   const struct sas_router_query *query,
                   struct sas_router_grant *grant, enum sas_refusal *reason);
 
-/* Gives a grant back; answer_bytes is what came back, for estimates. */
+/* Returns a grant's units. answer_bytes, the size of the answer's body, feeds
+ * the estimate for later requests. */
 void SasRouter_Release(struct sas_router *router, int service,
                        const struct sas_router_grant *grant,
                        int64_t answer_bytes);
 
-/* Which entry VMs a caller should use for a service; -1 while there is no
- * configuration in force. */
+/* Region and entry VMs for a caller of a service; Lookup returns -1 until the
+ * configuration is known. */
 struct sas_router_lookup {
     int region;
     int64_t version;
-    int lifetime_s;
+    int lifetime_s; /* TTL of this answer */
     int vms[SasRouter_MAX_LOOKUP_VMS];
     int vm_count;
 };
@@ -144,8 +148,8 @@
 /* The configuration version in force, 0 while there is none. */
 int64_t SasRouter_GetVersion(const struct sas_router *router);
 
-/* The store or a peer has said what is in force, and the budgets are
- * usable. */
+/* True once the store or a peer has told which configuration is in force
+ * (perhaps none) and no slots or link budget is recovering from a restart. */
 bool SasRouter_IsReady(const struct sas_router *router);
 
 /* {"regions":[...],"shifts":[...],"budgets":[...]} as in docs/API.md. */
--- a/packages/node/src/router_acquire.c
+++ b/packages/node/src/router_acquire.c
@@ -1,9 +1,9 @@
-/* Which backend server gets a request, within the budgets. */
+/* Chooses a backend server for a request and acquires its budget units. */
 #include <xxhash.h>
 
 #include "router_state.h"
 
-#define ESTIMATE_SAMPLES 32
+#define ESTIMATE_SAMPLES 32 /* of the moving average of answer sizes */
 
 static bool
 was_tried(const struct sas_router_query *query, int backend)
@@ -48,7 +48,7 @@
     return slots / vms + (rank < slots % vms ? 1 : 0);
 }
 
-/* What the placement policy sees of one backend server. */
+/* One backend server as input of the placement policy. */
 static struct sas_place_server
 describe_server(const struct sas_router *router,
                 const struct sas_router_query *query, int backend)
@@ -82,9 +82,10 @@
     return server;
 }
 
-/* One suspect always gets the same idle backend server, whichever entry VM
- * sends it, and two suspects seldom the same one: if they ran alone side by
- * side, one's crash would condemn the other. */
+/* Rendezvous hashing by fingerprint: every entry VM picks the same idle
+ * server for one suspected poison request, and mostly different servers for
+ * different ones. With two of them on one server, a crash caused by one would
+ * also quarantine the other. */
 static int
 choose_isolated(const struct sas_place_server *servers, int count,
                 uint64_t fingerprint)
@@ -127,7 +128,7 @@
                                   : router->servers[index].backend;
 }
 
-/* Milli-Mbit that the request and its answer are likely to need. */
+/* Estimated size of the request and its answer, in milli-Mbit. */
 static int64_t
 estimate_load(const struct sas_router *router,
               const struct sas_router_query *query)
@@ -136,7 +137,7 @@
     return (int64_t)(bytes * 8 / 1000);
 }
 
-/* Takes from the cap of the shift that the request belongs to. */
+/* Acquires a unit of the cap of the shift that applies to the request. */
 static bool
 acquire_cap(struct sas_router *router, const struct sas_router_query *query,
             const struct sas_shift *shift, struct sas_router_grant *grant)
@@ -161,8 +162,9 @@
                                   grant->charged);
 }
 
-/* Takes from every budget that a request to this region counts under, the
- * slots first, since they can be given back. */
+/* Acquires units of every budget that applies to the request in this region.
+ * Slots come first, since they can be returned when a later budget refuses;
+ * units of a rate can't. */
 static bool
 acquire_budgets(struct sas_router *router,
                 const struct sas_router_query *query, int home, int region,
@@ -241,14 +243,16 @@
     int target =
         SasLookup_Find(&router->lookup, query->service, query->caller_ip);
     bool any_usable = false;
-    /* Over its cap a shift's caller stays at home. */
+    /* A shifted caller falls back to its home region, for example when the
+     * shift is over its cap. */
     if (try_region(router, query, home, target, &any_usable, grant) ||
         (home != target &&
          try_region(router, query, home, home, &any_usable, grant))) {
         return SAS_ROUTER_GRANTED;
     }
-    /* A short wait at home costs less than the way to another region; that
-     * is for when home has no room, not for each moment without a slot. */
+    /* Other regions are tried only when no server of these two is usable or
+     * after a wait: a short wait at home costs less than a round trip to
+     * another region. */
     bool may_spill =
         !any_usable || query->waited_ms >= SasSteer_SPILL_AFTER_MS;
     for (int i = 0; may_spill && i < model->region_count; i++) {
@@ -279,8 +283,8 @@
                        SasLending_FindSlots(lending, service, grant->region),
                        grant->slots_source, 1);
     SasLending_Release(lending, grant->cap, grant->cap_source, 1);
-    /* The bytes are known only now; what the estimate was short of is paid
-     * before anything else passes. */
+    /* The size of the answer is known only now. Bytes beyond the estimate
+     * become debt, which is paid before the next request passes. */
     int64_t underestimate =
         (grant->request_bytes + answer_bytes) * 8 / 1000 - grant->charged;
     SasLending_AddDebt(lending, grant->link, underestimate);
--- a/packages/node/src/router_state.h
+++ b/packages/node/src/router_state.h
@@ -1,8 +1,8 @@
-/* steer_state - the inside of steer: what is known, and what is taken.
+/* router_state - the router's private state and internal functions.
  *
- * steer.c opens, answers look-ups and describes; steer_news.c takes in what
- * the sheet, the platform, the peers and the backend servers say;
- * steer_grant.c chooses a backend server and takes from the budgets.
+ * router.c opens, answers lookups and describes; router_updates.c applies
+ * updates from the sheet, the platform, the peers and the backend servers;
+ * router_acquire.c chooses a backend server and acquires budget units.
  */
 #ifndef SAS_ROUTER_STATE_H
 #define SAS_ROUTER_STATE_H
@@ -16,25 +16,25 @@
 
 struct backend_row {
     int in_flight;
-    bool reserved; /* a suspect runs alone there */
+    bool reserved; /* for an isolated run in progress */
     int owned_slots;
-    bool listed_leaving; /* by the platform as leaving, as last read */
-    int failures;        /* connections in a row that could not be made */
-    int64_t unreachable_until;
+    bool listed_leaving;       /* in the platform's last list */
+    int failures;              /* failed connection attempts in a row */
+    int64_t unreachable_until; /* backoff after those */
     int64_t last_reached_at;
 };
 
-/* Who says of an entry VM that it is leaving; the sheet does so too. */
+/* Reports that an entry VM is leaving; the sheet is a third source. */
 struct vm_row {
-    bool reports_leaving; /* its own word */
-    bool listed_leaving;  /* the platform's, as last read */
+    bool reports_leaving; /* by itself, through gossip */
+    bool listed_leaving;  /* in the platform's last list */
 };
 
 struct sas_router {
     struct sas_router_options options;
     const struct sas_model *model;
     struct sas_router_listener *listener;
-    bool has_config;
+    bool has_config; /* the version in force is known, perhaps none */
     int64_t version;
     struct sas_plan plan;
     struct sas_lookup lookup;
@@ -43,27 +43,28 @@
     struct sas_departure_table departures;
     struct vm_row *vms;
     struct sas_vm_view *views;
-    bool shares_seeded; /* a peer's shares were taken */
+    bool shares_seeded; /* with a peer's shares */
     struct sas_plan_signal *signals;
-    bool *down;
+    bool *down;           /* by region */
     double *answer_bytes; /* by service, a moving average */
     struct sas_place_policy *placement;
     struct sas_place_server *servers; /* scratch for one decision */
     uv_timer_t timer;
 };
 
-/* The loop's time. */
+/* The loop's time in milliseconds. */
 int64_t SasRouterState_GetNow(const struct sas_router *router);
 
-/* Works the look-ups out again after the plan changed (steer_news.c). */
+/* Recomputes the lookups after the plan changed (router_updates.c). */
 void SasRouterState_RebuildLookups(struct sas_router *router);
 
-/* Moves the plan to the present (steer_news.c). */
+/* Advances the plan to the current time (router_updates.c). */
 void SasRouterState_Advance(struct sas_router *router);
 
-/* How many of a server's places (slots and queue) are this entry VM's
- * (steer_grant.c). They go round the entry VMs of the server's region,
- * beginning at another one for each server; VMs elsewhere own none. */
+/* How many of a server's execution slots and queue places this entry VM owns
+ * (router_acquire.c). They are dealt round-robin to the entry VMs of the
+ * server's region, starting at a different VM for each server; VMs of other
+ * regions own none. */
 int SasRouterState_CountOwnedSlots(const struct sas_router *router,
                                    int backend);
 
--- a/packages/node/src/router_updates.c
+++ b/packages/node/src/router_updates.c
@@ -1,4 +1,5 @@
-/* What the sheet, the platform, the peers and the backend servers say. */
+/* Applies updates from the sheet, the platform, the peers and the backend
+ * servers. */
 #include <string.h>
 
 #include <xxhash.h>
@@ -6,14 +7,15 @@
 #include "sas/log.h"
 #include "router_state.h"
 
-#define MIN_RETRY_MS 250
-#define MAX_RETRY_MS 5000
-#define DOWN_AFTER_MS 3000
+#define MIN_BACKOFF_MS 250
+#define MAX_BACKOFF_MS 5000
+#define DOWN_AFTER_MS 3000 /* without a connection to any of its servers */
 
-/* What a server said sticks for its process: a list that flaps does not bring
- * it back, and the process that replaces it starts afresh. A list that lags
- * says leaving of that one too; so the list counts while it says so, and marks
- * only the process at which it began to. */
+/* A report of leaving holds for the server's incarnation, so that a flapping
+ * platform list does not bring the server back; its next incarnation starts
+ * without the mark. A stale list may still name that next one: the list
+ * counts only while it says leaving, and marks only the incarnation that ran
+ * when the entry appeared. */
 static bool
 is_reported_leaving(const struct sas_router *router, int backend)
 {
@@ -62,8 +64,8 @@
     }
 }
 
-/* Reports on answers state no incarnation; such a word is that of whatever
- * process runs now. */
+/* Load reports in answer headers carry no incarnation and are attributed to
+ * the current one. */
 static bool
 note_departure(struct sas_router *router, int backend,
                const struct sas_load_report *report, uint64_t incarnation,
@@ -93,7 +95,7 @@
                        SasRouterState_GetNow(router) - age_ms)) {
         SasLog_Write(SasLog_INFO, "backend.leaving",
                      router->model->backends[backend].name,
-                     "it says that it is leaving");
+                     "the server reports that it is leaving");
     }
     update_leaving(router, backend);
 }
@@ -109,9 +111,10 @@
         row->last_reached_at = now;
         return;
     }
-    int64_t pause = MIN(MAX_RETRY_MS, MIN_RETRY_MS << MIN(row->failures, 5));
+    int64_t backoff =
+        MIN(MAX_BACKOFF_MS, MIN_BACKOFF_MS << MIN(row->failures, 5));
     row->failures++;
-    row->unreachable_until = now + pause;
+    row->unreachable_until = now + backoff;
 }
 
 void
@@ -147,7 +150,7 @@
 {
     const json_t *rows = json_object_get(list, "vms");
     if (json_array_size(rows) == 0) {
-        return; /* an empty list says nothing */
+        return; /* an empty list does not mean that all VMs are dead */
     }
     for (int i = 0; i < router->model->vm_count; i++) {
         router->views[i].platform = SAS_VM_DEAD;
@@ -168,8 +171,8 @@
 SasRouter_ApplyPeer(struct sas_router *router, int vm, bool live, bool leaving)
 {
     router->views[vm].peers = live ? SAS_VM_LIVE : SAS_VM_DEAD;
-    /* A VM that left stays out when it has gone; the process that replaces
-     * it says afresh whether it is leaving. */
+    /* A leaving VM keeps its mark once it is dead; its next process reports
+     * its own state. */
     if (live) {
         router->vms[vm].reports_leaving = leaving;
     }
--- a/packages/node/src/signals.h
+++ b/packages/node/src/signals.h
@@ -1,10 +1,10 @@
-/* signals - SIGTERM, SIGINT and SIGHUP while nobody takes them.
+/* signals - blocks SIGTERM, SIGINT and SIGHUP until their handlers are set.
  *
- * Without a handler each of them ends the process. Hold keeps them pending:
- * main's first step, and again before a loop's handlers are closed. Release
- * lets them come, whoever held them before, and is called once the handlers
- * stand. Threads that are started in between hold them for good, so that they
- * come to the loop's thread.
+ * Unhandled, each of them ends the process. Block keeps them pending: main
+ * calls it first, and a mode again before it closes the loop's handlers.
+ * Unblock delivers them, also those that the parent process had blocked; it
+ * is called once the handlers are set. Threads started in between keep them
+ * blocked, so that the loop's thread receives them.
  */
 #ifndef SAS_SIGNALS_H
 #define SAS_SIGNALS_H
--- a/packages/node/src/status_json.h
+++ b/packages/node/src/status_json.h
@@ -1,4 +1,4 @@
-/* describe - rows of the status that operators see, the same in both modes.
+/* status_json - rows of /v1/status that both modes of the daemon share.
  */
 #ifndef SAS_STATUS_JSON_H
 #define SAS_STATUS_JSON_H
@@ -8,7 +8,7 @@
 #include "sas/model.h"
 #include "sas/plan.h"
 
-/* headroom: the part of the region's slots that is free, 0 to 1. */
+/* headroom: free share of the region's execution slots, 0 to 1. */
 json_t *SasStatusJson_DescribeRegion(const struct sas_model *model,
                                      int service, int region, double headroom);
 json_t *SasStatusJson_DescribeShift(const struct sas_model *model,
