--- a/packages/node/src/claims.c
+++ b/packages/node/src/claims.c
@@ -19,14 +19,14 @@
 struct sas_claims_claim {
     struct sas_store_call call; /* first: the store's callback */
     struct sas_claims *claims;
-    struct sas_claims_listener *listener; /* NULL once it has its answer */
+    struct sas_claims_listener *listener; /* NULL after its last callback */
     struct sas_claim core;
-    struct sas_claim_step step;  /* the one in progress */
-    struct sas_claim_row stored; /* as read last */
+    struct sas_claim_step step;  /* in progress */
+    struct sas_claim_row stored; /* the row as last read */
     bool has_stored;
     bool sent;
-    bool reading_object; /* of the answer that is to be replayed */
-    uv_timer_t pause;
+    bool reading_object; /* the body of the answer to replay */
+    uv_timer_t delay_timer;
 };
 
 static void do_step(struct sas_claims_claim *claim,
@@ -48,7 +48,7 @@
 }
 
 static void
-on_pause_closed(uv_handle_t *handle)
+on_timer_closed(uv_handle_t *handle)
 {
     g_free(handle->data);
 }
@@ -61,7 +61,7 @@
         SasClaim_FreeRow(&claim->stored);
     }
     SasClaim_Free(&claim->core);
-    uv_close((uv_handle_t *)&claim->pause, on_pause_closed);
+    uv_close((uv_handle_t *)&claim->delay_timer, on_timer_closed);
 }
 
 void
@@ -80,7 +80,7 @@
     return (int)g_list_length(claims->active);
 }
 
-/* A token that no other attempt of any process has. */
+/* A token unique to this attempt, across all processes. */
 static void
 format_token(struct sas_claims *claims, char *token, size_t size)
 {
@@ -112,8 +112,8 @@
     claim->call.on_result = on_result;
     claim->claims = claims;
     claim->listener = listener;
-    uv_timer_init(claims->loop, &claim->pause);
-    claim->pause.data = claim;
+    uv_timer_init(claims->loop, &claim->delay_timer);
+    claim->delay_timer.data = claim;
     claims->active = g_list_prepend(claims->active, claim);
     do_step(claim, SasClaim_Handle(&claim->core, SAS_CLAIM_START, NULL, NULL));
     return claim;
@@ -156,7 +156,7 @@
     claim->listener = NULL;
     struct sas_claim_step step = {.action = SAS_CLAIM_SEND};
     if (claim->sent) {
-        /* Not run there: the claim is as before the first byte. */
+        /* Nothing ran: back to the state before MarkSent. */
         step = SasClaim_Handle(&claim->core, SAS_CLAIM_SHED, NULL, NULL);
     }
     if (step.action == SAS_CLAIM_SEND) {
@@ -167,8 +167,8 @@
 
 /* Answers. */
 
-/* Turns "Name: value\r\n" lines into a table; both parts of a line are ended
- * in place. */
+/* Parses "Name: value\r\n" lines into headers that point into the text, which
+ * is modified. */
 static GArray *
 split_headers(char *lines)
 {
@@ -253,7 +253,7 @@
 /* Steps. */
 
 static void
-on_pause_over(uv_timer_t *timer)
+on_delay_over(uv_timer_t *timer)
 {
     do_action(timer->data);
 }
@@ -269,8 +269,8 @@
         return;
     }
     if (step.pause_ms > 0) {
-        uv_timer_start(&claim->pause, on_pause_over, (uint64_t)step.pause_ms,
-                       0);
+        uv_timer_start(&claim->delay_timer, on_delay_over,
+                       (uint64_t)step.pause_ms, 0);
         return;
     }
     do_action(claim);
@@ -339,7 +339,7 @@
                : refused ? SAS_CLAIM_INSERT_REFUSED
                          : SAS_CLAIM_INSERT_LOST;
     case SAS_CLAIM_WRITE_OBJECT:
-        /* Refused: it is there already, by this attempt's own name. */
+        /* Refused: the object exists, written by this attempt before. */
         return ok || refused ? SAS_CLAIM_OBJECT_OK : SAS_CLAIM_OBJECT_FAILED;
     case SAS_CLAIM_WRITE_DONE:
         return ok        ? SAS_CLAIM_DONE_OK
@@ -379,7 +379,7 @@
                        event == SAS_CLAIM_ROW_FOUND ? result->etag : NULL));
 }
 
-/* The kept body of the first answer has come, or can't be had. */
+/* The stored body of the first answer was read, or could not be. */
 static void
 replay_object(struct sas_claims_claim *claim,
               const struct sas_store_result *result)
--- a/packages/node/src/claims.h
+++ b/packages/node/src/claims.h
@@ -1,9 +1,10 @@
-/* claims - at-most-once records in the platform's table.
+/* claims - at-most-once execution by records in the platform's table.
  *
  * Drives the core's claim state machine (sas/claim.h) with the store's
- * answers. A claim goes: Begin, then on_proceed; the user sends the request
- * and calls exactly one of Finish, Lose or Release. Instead of on_proceed
- * the user may be told on_replay or on_refuse, which end the claim.
+ * answers. After Begin the listener gets exactly one of on_proceed, on_replay
+ * and on_refuse. After on_proceed the caller sends the request and ends the
+ * claim by exactly one of Finish, LeaveHeld and Release; the other two
+ * callbacks end it themselves.
  */
 #ifndef SAS_CLAIMS_H
 #define SAS_CLAIMS_H
@@ -12,7 +13,7 @@
 #include "sas/http.h"
 #include "sas/store.h"
 
-#define SasClaims_MAX_KEPT_BODY (1024 * 1024)
+#define SasClaims_MAX_STORED_BYTES (1024 * 1024) /* of an answer's body */
 
 struct sas_claims;
 struct sas_claims_claim;
@@ -20,19 +21,20 @@
 struct sas_claims_listener;
 
 struct sas_claims_vtable {
-    /* The claim is ours; the request may be sent. */
+    /* The claim is held; the request may be sent. */
     void (*on_proceed)(struct sas_claims_listener *listener);
-    /* The request ran before; this is its first answer. */
+    /* The request ran before; this is its stored answer. */
     void (*on_replay)(struct sas_claims_listener *listener, int status,
                       const struct sas_http_header *headers, int header_count,
                       const char *body, size_t body_size);
     void (*on_refuse)(struct sas_claims_listener *listener,
                       enum sas_refusal reason, enum sas_outcome outcome);
-    /* After Finish: the answer is kept, or can't be; it may be passed on. */
+    /* After Finish: the answer is stored, or could not be; it may be passed
+     * on in both cases. */
     void (*on_finished)(struct sas_claims_listener *listener);
 };
 
-/* The user embeds it as first member. */
+/* Embedded as first member. */
 struct sas_claims_listener {
     const struct sas_claims_vtable *vtable;
 };
@@ -52,25 +54,28 @@
                                   const char *token_prefix);
 void SasClaims_Close(struct sas_claims *claims);
 
-/* Claims whose last write is not settled yet; a stop waits for them. */
+/* Claims in progress, also those that are writing their outcome; a shutdown
+ * waits for them. */
 int SasClaims_CountActive(const struct sas_claims *claims);
 
+/* Claims a request. NULL when it was refused at once. */
 struct sas_claims_claim *SasClaims_Begin(struct sas_claims *claims,
                                          const struct sas_claims_key *key,
                                          struct sas_claims_listener *listener);
 
-/* The first byte is about to leave. */
+/* To be called before the first byte of the request is sent. */
 void SasClaims_MarkSent(struct sas_claims_claim *claim);
 
-/* The whole answer is here; on_finished follows. */
+/* The answer is complete: stores it, then calls on_finished. */
 void SasClaims_Finish(struct sas_claims_claim *claim, int status,
                       const struct sas_http_header *headers, int header_count,
                       const char *body, size_t body_size);
 
-/* Sent, but no whole answer: the row stays, no other run may follow. */
+/* The request was sent, but there is no answer to store: the claim stays held,
+ * so that no other attempt runs it. */
 void SasClaims_LeaveHeld(struct sas_claims_claim *claim);
 
-/* Nothing was run: the row goes, a resend may run. */
+/* The request did not run: the claim is released, and a retry may run. */
 void SasClaims_Release(struct sas_claims_claim *claim);
 
 #endif
--- a/packages/node/src/config_store.c
+++ b/packages/node/src/config_store.c
@@ -13,13 +13,13 @@
 #define HEAD_KEY "config/head"
 #define HISTORY_LENGTH 64
 #define MIN_POLL_MS 1000
-/* All nodes together use a tenth of the store's reads. */
+/* Of all nodes together: a tenth of the store's reads. */
 #define TOTAL_POLLS_PER_S 100
 #define PUT_TIMEOUT_MS 6000
-#define PUT_PAUSE_MS 200
+#define PUT_RETRY_DELAY_MS 200
 #define DIGEST_SIZE 17
 
-/* Reads the head, then the object it names. */
+/* Reads the head row, then the object that it names. */
 struct poll {
     struct sas_store_call call; /* first: the store's callback */
     struct sas_config_store *config_store;
@@ -36,7 +36,7 @@
 struct sas_config_store {
     struct sas_config_store_options options;
     struct sas_config *current;
-    bool head_known;
+    bool head_known; /* on_config was called, perhaps for "none" */
     struct poll poll;
     struct list_poll list_poll;
     uv_timer_t timer;
@@ -54,7 +54,7 @@
     struct sas_store_call call; /* first: the store's callback */
     struct sas_config_store *config_store;
     struct sas_put_listener *listener;
-    uv_timer_t pause;
+    uv_timer_t retry_timer;
     enum put_step step;
     char *sheet;
     size_t sheet_size;
@@ -65,7 +65,7 @@
     char operator_name[SasConfig_NAME_SIZE];
     char etag[SasStore_ETAG_SIZE]; /* of the head, "" when absent */
     json_t *head;
-    struct sas_config *base; /* what the new version is made from */
+    struct sas_config *base; /* version in force when this put was built */
     struct sas_config *config;
     char *object_key;
 };
@@ -112,8 +112,8 @@
     SasConfig_Unref(put->config);
     g_free(put->object_key);
     g_free(put->sheet);
-    put->pause.data = put;
-    uv_close((uv_handle_t *)&put->pause, on_timer_closed);
+    put->retry_timer.data = put;
+    uv_close((uv_handle_t *)&put->retry_timer, on_timer_closed);
 }
 
 void
@@ -139,9 +139,8 @@
 {
     int64_t number =
         config_store->current != NULL ? config_store->current->number : 0;
-    /* The store may answer with an old row, and a peer may be behind. Taking
-     * a lower version would show as an accepted change that reverts; so
-     * only a higher one is ever adopted, whoever offers it. */
+    /* Reads of the store may be stale, and peers may lag. A lower version
+     * would revert a change that was already accepted. */
     if (!SasConfig_MayReplace(number, config->number)) {
         return false;
     }
@@ -316,9 +315,9 @@
     end_put(put, &answer);
 }
 
-/* The head names the object that this put wrote, so what it built is the
- * version in force. The same operation put through another node has another
- * object, with other resolved times. */
+/* Adopts the version that this put built, once the head names its object. The
+ * same operation put through another node writes another object, with other
+ * resolved times. */
 static void
 adopt_written(struct put *put)
 {
@@ -351,7 +350,7 @@
     end_put(put, &answer);
 }
 
-/* The row of an operation in the head's history, or NULL. */
+/* The entry of an operation in the head's history, or NULL. */
 static const json_t *
 find_operation(const json_t *head, const char *operation)
 {
@@ -368,8 +367,8 @@
     return NULL;
 }
 
-/* What identifies a request, so that an operation id that is used again for
- * another one is not answered as done. */
+/* Digest of the sheet or drain order, so that an operation id used again for
+ * another request is not answered as done. */
 static void
 format_request_digest(const struct put *put, char *text, size_t size)
 {
@@ -382,7 +381,7 @@
     snprintf(text, size, "%016" PRIx64, digest);
 }
 
-/* The operation is in the history: this put is a repetition of it. */
+/* The operation is in the history: this put is a retry or took effect. */
 static void
 end_put_found(struct put *put, const json_t *row)
 {
@@ -407,7 +406,7 @@
     end_put_done(put, json_integer_value(json_object_get(row, "version")));
 }
 
-/* Makes the new version from the sheet that came. */
+/* Builds the new version from the operator's sheet. */
 static struct sas_config *
 build_from_sheet(const struct put *put, int64_t number,
                  struct sas_sheet_error *place, struct sas_error *error)
@@ -465,7 +464,7 @@
     return -1;
 }
 
-/* Makes the new version from the head that was just read. */
+/* Builds the version that follows base_version, and checks it. */
 static int
 build_config(struct put *put, int64_t base_version,
              struct sas_sheet_error *place)
@@ -545,7 +544,7 @@
 }
 
 static void
-on_pause_over(uv_timer_t *timer)
+on_retry_due(uv_timer_t *timer)
 {
     read_head(timer->data);
 }
@@ -558,7 +557,7 @@
         end_put_unresolved(put);
         return;
     }
-    uv_timer_start(&put->pause, on_pause_over, PUT_PAUSE_MS, 0);
+    uv_timer_start(&put->retry_timer, on_retry_due, PUT_RETRY_DELAY_MS, 0);
 }
 
 static void
@@ -569,7 +568,7 @@
                   &put->call);
 }
 
-/* The head as it is now decides what has become of the operation. */
+/* Chooses the next step of a put by the head row that was just read. */
 static void
 decide_by_head(struct put *put, const struct sas_store_result *result)
 {
@@ -595,10 +594,11 @@
         return;
     }
     if (put->config != NULL) {
-        write_object(put); /* again: the same change on the same base */
+        write_object(put); /* retry: the same change on the same base */
         return;
     }
-    /* A drain keeps the rows in force, so it needs that very version. */
+    /* A drain keeps the rows in force, so it waits until this node has adopted
+     * the version that the head names. */
     int64_t current =
         config_store->current != NULL ? config_store->current->number : 0;
     if (put->sheet == NULL && current != version) {
@@ -621,10 +621,10 @@
     write_object(put);
 }
 
-/* The store's answer to one step. A lost acknowledgement is never taken for
- * success or failure: the head is read back, and the operation is found in
- * its history or is written again with the same condition, which can take
- * effect only once. */
+/* Handles the store's answer to one step. A write without acknowledgement
+ * counts neither as success nor as failure: the head is read back, and the
+ * operation is in its history or is written again with the same condition,
+ * which can take effect only once. */
 static void
 put_on_result(struct sas_store_call *call,
               const struct sas_store_result *result)
@@ -641,7 +641,7 @@
         decide_by_head(put, result);
         return;
     case PUT_WRITE_OBJECT:
-        /* A conflict here: the object exists, from this same operation. */
+        /* On a conflict the object exists, written by this operation. */
         if (unconfirmed) {
             read_head_later(put);
             return;
@@ -677,8 +677,8 @@
     g_strlcpy(state->operation, put->operation, sizeof(state->operation));
     g_strlcpy(state->operator_name, put->operator_name,
               sizeof(state->operator_name));
-    uv_timer_init(config_store->options.loop, &state->pause);
-    state->pause.data = state;
+    uv_timer_init(config_store->options.loop, &state->retry_timer);
+    state->retry_timer.data = state;
     config_store->puts = g_list_prepend(config_store->puts, state);
     read_head(state);
 }
--- a/packages/node/src/config_store.h
+++ b/packages/node/src/config_store.h
@@ -1,10 +1,11 @@
-/* configure - the task that owns the configuration: the head row and the
- * version objects in the store, and which version this node has adopted.
+/* config_store - reads and writes configuration versions in the store and
+ * holds the one that this node has adopted.
  *
- * A version is an immutable object; the head row names the one in force and
- * is changed by compare-and-swap only. The head carries the last changes
- * with their operation ids, so that a lost acknowledgement is settled by
- * reading back. A node adopts only higher versions, whoever offers them.
+ * A version is an immutable object. The head row names the version in force
+ * and is changed by compare-and-swap only. It carries the last changes with
+ * their operation ids, so that reading it back tells whether a write without
+ * acknowledgement took effect. A node adopts higher versions only, whether
+ * they come from the store or from a peer.
  */
 #ifndef SAS_CONFIG_STORE_H
 #define SAS_CONFIG_STORE_H
@@ -21,17 +22,17 @@
 
 struct sas_config_store;
 
-/* Who is told; embedded as first member. */
+/* Embedded as first member. */
 struct sas_config_store_listener {
-    /* A version was adopted; NULL: the store has none yet. */
+    /* A version was adopted; NULL: the store has none. */
     void (*on_config)(struct sas_config_store_listener *listener,
                       struct sas_config *config);
-    /* The platform's list came, as JSON. */
+    /* The platform's VM list, as JSON. Not called with poll_on_demand. */
     void (*on_vms)(struct sas_config_store_listener *listener,
                    const json_t *list);
-    /* Names are about to be resolved against the model: now it may change.
-     * config: the version in JSON that is going to be decoded, or NULL. May
-     * be NULL where the model never changes. */
+    /* Names are about to be resolved against the model, which may be changed
+     * now. config: the JSON of the version that will be decoded, or NULL. The
+     * callback is NULL where the model never changes. */
     void (*on_refresh_model)(struct sas_config_store_listener *listener,
                              const char *config, size_t size);
 };
@@ -44,15 +45,15 @@
     GRand *random;
     int64_t utc_offset_s;
     int64_t (*get_wall_ms)(void);
-    bool poll_on_demand; /* polls only by SasConfigStore_Poll */
-    size_t max_object;   /* bytes that the store takes; 0: any */
+    bool poll_on_demand; /* only SasConfigStore_Poll polls the store */
+    size_t max_object;   /* bytes that the store accepts; 0: no limit */
 };
 
 enum sas_put_result {
     SAS_PUT_DONE,
     SAS_PUT_BAD_SHEET,   /* row, column, text */
-    SAS_PUT_CONFLICT,    /* version, operation, operator_name: who won */
-    SAS_PUT_UNAVAILABLE, /* nothing was changed, the store is not there */
+    SAS_PUT_CONFLICT,    /* version, operation, operator_name in force */
+    SAS_PUT_UNAVAILABLE, /* store not reachable, nothing was changed */
     SAS_PUT_UNKNOWN      /* may have taken effect */
 };
 
@@ -64,20 +65,20 @@
     struct sas_sheet_error sheet_error;
 };
 
-/* A put in progress; the caller embeds it as first member. */
+/* Receives the answer to a put; embedded as first member. */
 struct sas_put_listener {
     void (*on_answer)(struct sas_put_listener *listener,
                       const struct sas_put_answer *answer);
 };
 
 struct sas_put {
-    const char *sheet; /* NULL: the sheet in force and a drain row */
+    const char *sheet; /* NULL: adds a drain row to the sheet in force */
     size_t sheet_size;
     enum sas_drain_kind drain_kind;
     int drain_target;
     const char *operation;
     const char *operator_name;
-    int64_t if_version; /* -1: whatever is in force */
+    int64_t if_version; /* only if this one is in force; -1: any */
     bool dry_run;
 };
 
@@ -85,21 +86,22 @@
 SasConfigStore_Open(const struct sas_config_store_options *options);
 void SasConfigStore_Close(struct sas_config_store *config_store);
 
-/* The version in force here, or NULL. */
+/* The version that this node has adopted, or NULL. */
 struct sas_config *
 SasConfigStore_GetCurrent(struct sas_config_store *config_store);
 
-/* Reads the head of the store now, and what it names if that is newer. */
+/* Reads the head row now, and the version it names if that is higher. */
 void SasConfigStore_Poll(struct sas_config_store *config_store);
 
-/* Lets the model come up to date before names are looked up in it. */
+/* Calls on_refresh_model before names are resolved against the model. */
 void SasConfigStore_RefreshModel(struct sas_config_store *config_store);
 
-/* No put is in progress, so that nothing but the version in force refers to
- * the model by handle. */
+/* True without a put in progress: then only the version in force holds
+ * handles into the model. */
 bool SasConfigStore_IsIdle(const struct sas_config_store *config_store);
 
-/* Takes over a version if it is higher; true when it was. */
+/* Adopts a version if its number is higher than the current one; true when it
+ * was adopted. */
 bool SasConfigStore_AdoptIfNewer(struct sas_config_store *config_store,
                                  struct sas_config *config);
 
@@ -108,8 +110,8 @@
                         const struct sas_put *put,
                         struct sas_put_listener *listener);
 
-/* The store's list of changes: {"versions":[...]}, newest last, or NULL
- * when the store can't be read. */
+/* Receives the list of changes, {"versions":[...]}, newest last, or NULL when
+ * the store can't be read. */
 struct sas_history_listener {
     void (*on_history)(struct sas_history_listener *listener,
                        const json_t *history);
--- a/packages/node/src/forward_attempt.c
+++ b/packages/node/src/forward_attempt.c
@@ -314,8 +314,8 @@
     /* The first bytes are held back, so that an answer which breaks early
      * can be asked for again without the caller seeing a part of it. */
     g_string_append_len(call->buffered, data, (gssize)size);
-    size_t limit =
-        call->at_most_once ? SasClaims_MAX_KEPT_BODY : SasForward_HOLD_BYTES;
+    size_t limit = call->at_most_once ? SasClaims_MAX_STORED_BYTES
+                                      : SasForward_HOLD_BYTES;
     if (call->buffered->len > limit && call->reply != NULL) {
         call->streaming = true;
         SasForwardCall_PassAnswer(call);
