--- a/packages/node/src/forward.c
+++ b/packages/node/src/forward.c
@@ -90,7 +90,8 @@
     call->request.caller = g_string_chunk_insert(call->texts, request->caller);
     SasForwardCall_CopyHeaders(call, request->headers, request->header_count,
                                call->headers);
-    /* Many servers take both spellings of a path for the same. */
+    /* Many servers treat the raw and the normalized path alike, so either may
+     * match. */
     call->at_most_once =
         SasModel_IsOnceRoute(options->model, request->service,
                              request->target) ||
@@ -109,13 +110,12 @@
     return call;
 }
 
-/* Asks the guard; call->query.alone says whether it has to run alone. */
 enum sas_quarantine_verdict
 SasForwardCall_CheckPoison(struct sas_forward_call *call, int *retry_after_s)
 {
     enum sas_quarantine_verdict decision = SasPoisonGuard_Check(
         call->forward->options.poison_guard, call->fingerprint, retry_after_s);
-    /* The trial that is under way is this call's own, and its first backend
+    /* The isolated run in progress is this call's own: its first backend
      * server could not be reached. */
     if (decision == SAS_QUARANTINE_WAIT && call->isolated_run) {
         decision = SAS_QUARANTINE_ALONE;
@@ -125,7 +125,7 @@
     return decision;
 }
 
-/* True when the request may run, else it has been refused. */
+/* True when the request may run; else it was refused. */
 static bool
 check_poison(struct sas_forward_call *call)
 {
@@ -138,7 +138,7 @@
         return false;
     }
     if (decision == SAS_QUARANTINE_REFUSE) {
-        /* An earlier sending of it ran, in part at least. */
+        /* The same request ran before, at least in part. */
         SasForwardCall_Refuse(call, SAS_REFUSE_QUARANTINED,
                               SAS_OUTCOME_UNKNOWN, retry_after_s);
         return false;
@@ -146,7 +146,8 @@
     return true;
 }
 
-/* Refuses at once what must not start, claims what may not repeat. */
+/* Refuses the call, claims it when it may run at most once, or asks for a
+ * slot. */
 static void
 check_and_start(struct sas_forward_call *call)
 {
@@ -163,10 +164,11 @@
         SasForwardCall_Acquire(call);
         return;
     }
-    /* Once it is sent it runs to its end even when its caller goes, so that
-     * the outcome can be kept; the caller's copy of the body goes then. */
-    call->own_body = g_memdup2(call->request.body, call->request.body_size);
-    call->request.body = call->own_body;
+    /* Once sent, the attempt continues after its caller disconnects, so that
+     * the outcome can be stored. The caller task's copy of the body is freed
+     * then. */
+    call->body_copy = g_memdup2(call->request.body, call->request.body_size);
+    call->request.body = call->body_copy;
     struct sas_claims_key key = {
         .service = options->model->services[call->request.service].name,
         .caller = call->request.caller,
@@ -191,7 +193,7 @@
     g_array_free(call->headers, TRUE);
     g_array_free(call->answer_headers, TRUE);
     g_string_free(call->buffered, TRUE);
-    g_free(call->own_body);
+    g_free(call->body_copy);
     g_free(call);
 }
 
@@ -214,7 +216,7 @@
         retry_after_s = SasRetry_ChooseRetryAfter(
             retry_after_s, call->forward->options.random);
     }
-    /* One of several attempts may have run, whatever the last one says. */
+    /* An earlier attempt may have run, whatever the last outcome. */
     if (outcome == SAS_OUTCOME_NOT_RUN && call->may_have_run) {
         outcome = SAS_OUTCOME_UNKNOWN;
     }
@@ -243,7 +245,7 @@
     switch (call->state) {
     case CALL_CLAIMING:
     case CALL_SAVING:
-        return; /* goes on by itself and ends with nobody to tell */
+        return; /* continues without a caller */
     case CALL_WAITING:
         g_queue_remove(&call->forward->waiting[call->request.service], call);
         SasForwardCall_Refuse(call, SAS_REFUSE_CALLER_GONE,
--- a/packages/node/src/forward.h
+++ b/packages/node/src/forward.h
@@ -1,8 +1,8 @@
-/* forward - the life of one request: claim, grant, attempts, answer.
+/* forward - carries one request through claim, grant, attempts and answer.
  *
- * The caller task begins a call and gets exactly one end: on_refuse, on_end
- * or on_abort. What it passed in must stay until then. After Cancel it gets
- * none. Times are loop milliseconds.
+ * The caller task begins a call and gets exactly one final callback:
+ * on_refuse, on_end or on_abort; after Cancel it gets none. The request's
+ * data must stay valid until then. Times are loop milliseconds.
  */
 #ifndef SAS_FORWARD_H
 #define SAS_FORWARD_H
@@ -20,15 +20,15 @@
 struct sas_forward_request {
     int service;
     const char *method;
-    const char *target; /* as the backend server gets it */
-    const char *route;  /* its path without dots, escapes, double slashes */
+    const char *target; /* sent to the backend server unchanged */
+    const char *route;  /* its path, normalized */
     const struct sas_http_header *headers;
     int header_count;
     const char *body;
     size_t body_size;
     uint32_t caller_ip;
-    const char *caller; /* identity for idempotency keys */
-    const char *key;    /* NULL when absent */
+    const char *caller; /* identity that scopes the idempotency key */
+    const char *key;    /* idempotency key, NULL when absent */
     int64_t deadline_ms;
 };
 
@@ -36,8 +36,8 @@
     int status;
     const struct sas_http_header *headers;
     int header_count;
-    int64_t length; /* -1 when it is not known before the end */
-    const char *backend;
+    int64_t length;      /* of the body; -1: known only at its end */
+    const char *backend; /* NULL for a replayed answer */
     const char *region;
 };
 
@@ -51,11 +51,11 @@
     void (*on_body)(struct sas_forward_reply *reply, const char *data,
                     size_t size);
     void (*on_end)(struct sas_forward_reply *reply);
-    /* The answer broke after its head was passed on. */
+    /* The answer broke off after its head was passed on. */
     void (*on_abort)(struct sas_forward_reply *reply);
 };
 
-/* The caller task embeds it as first member. */
+/* Embedded as first member. */
 struct sas_forward_reply {
     const struct sas_forward_reply_vtable *vtable;
 };
@@ -82,17 +82,18 @@
                  const struct sas_forward_request *request,
                  struct sas_forward_reply *reply);
 
-/* The caller has gone. */
+/* The caller has disconnected. A request that runs at most once continues, so
+ * that its outcome can be stored. */
 void SasForward_Cancel(struct sas_forward_call *call);
 
-/* The caller's side is full, or has room again. */
+/* Backpressure: stop and restart reading the answer. */
 void SasForward_Pause(struct sas_forward_call *call);
 void SasForward_Resume(struct sas_forward_call *call);
 
-/* Capacity may have come free: those who wait may try again. */
+/* Capacity may have come free: waiting requests ask for a slot again. */
 void SasForward_Wake(struct sas_forward *forward);
 
-/* Requests in progress, those whose caller has gone included. */
+/* Requests in progress, also those whose caller has disconnected. */
 int SasForward_CountActive(const struct sas_forward *forward);
 
 #endif
--- a/packages/node/src/forward_attempt.c
+++ b/packages/node/src/forward_attempt.c
@@ -1,12 +1,12 @@
-/* The attempts of a request: waiting for a slot, sending, trying again. */
+/* The attempts of a request: waiting for a slot, sending, retrying. */
 #include <stdio.h>
 #include <string.h>
 
 #include "forward_call.h"
 #include "sas/metrics.h"
 
-#define OWN_HEADERS 2
-#define MEAN_SAMPLES 32
+#define OWN_HEADERS 2   /* added by start_attempt() */
+#define MEAN_SAMPLES 32 /* of the moving average of attempt durations */
 
 static const struct sas_upstream_vtable attempt_vtable;
 static void on_timer(uv_timer_t *timer);
@@ -89,7 +89,8 @@
     SasForward_Wake(forward);
 }
 
-/* False when the call may run only alone and is running so elsewhere. */
+/* False when the call needs an isolated run and one of the same request is in
+ * progress. */
 static bool
 begin_isolated_run(struct sas_forward_call *call)
 {
@@ -102,7 +103,8 @@
     return true;
 }
 
-/* Asks for a slot; true when the call has gone on or has ended. */
+/* Asks for a slot; false when none is free. True when the attempt was started
+ * or the call refused. */
 static bool
 try_acquire(struct sas_forward_call *call)
 {
@@ -111,20 +113,20 @@
     call->query.waited_ms =
         call->waiting_since > 0 ? now - call->waiting_since : 0;
     enum sas_refusal reason = SAS_REFUSE_NO_HEADROOM;
-    enum sas_router_decision answer = SasRouter_Acquire(
+    enum sas_router_decision decision = SasRouter_Acquire(
         call->forward->options.router, &call->query, &call->grant, &reason);
-    if (answer == SAS_ROUTER_GRANTED && !begin_isolated_run(call)) {
+    if (decision == SAS_ROUTER_GRANTED && !begin_isolated_run(call)) {
         SasRouter_Release(call->forward->options.router, call->request.service,
                           &call->grant, 0);
         SasForwardCall_Refuse(call, SAS_REFUSE_SUSPECT, SAS_OUTCOME_NOT_RUN,
                               SasForwardCall_RETRY_AFTER_S);
         return true;
     }
-    if (answer == SAS_ROUTER_GRANTED) {
+    if (decision == SAS_ROUTER_GRANTED) {
         start_attempt(call);
         return true;
     }
-    if (answer == SAS_ROUTER_REFUSED) {
+    if (decision == SAS_ROUTER_REFUSED) {
         SasForwardCall_Refuse(call, reason, SAS_OUTCOME_NOT_RUN,
                               SasForwardCall_RETRY_AFTER_S);
         return true;
@@ -132,8 +134,9 @@
     return false;
 }
 
-/* Whoever would wait longer than is allowed, by the pace of those before it,
- * is told so at once instead of after that wait. */
+/* Admission control: true when the expected queueing time, by the number of
+ * waiting requests and the mean duration of attempts, exceeds the limit. The
+ * request is then refused at once rather than after the wait. */
 static bool
 exceeds_queue_wait(const struct sas_forward_call *call)
 {
@@ -244,14 +247,15 @@
     }
 }
 
-/* Tries again elsewhere, or refuses. The attempt has ended already. */
+/* Retries on another backend server, or refuses. The attempt has ended. */
 static void
 retry_or_refuse(struct sas_forward_call *call, enum sas_retry_reason why,
                 enum sas_refusal reason, enum sas_outcome outcome)
 {
     bool may_have_run = outcome != SAS_OUTCOME_NOT_RUN;
     call->may_have_run |= may_have_run;
-    /* What spoilt a kept connection may be on those to other servers too. */
+    /* What broke this connection may have broken idle ones to other servers
+     * too. */
     call->needs_new_connection |= why == SAS_RETRY_CUT;
     note_tried(call);
     g_string_truncate(call->buffered, 0);
@@ -311,8 +315,8 @@
         call->reply->vtable->on_body(call->reply, data, size);
         return;
     }
-    /* The first bytes are held back, so that an answer which breaks early
-     * can be asked for again without the caller seeing a part of it. */
+    /* The first bytes are buffered, so that an answer that breaks early can be
+     * retried before the caller has seen a part of it. */
     g_string_append_len(call->buffered, data, (gssize)size);
     size_t limit = call->at_most_once ? SasClaims_MAX_STORED_BYTES
                                       : SasForward_HOLD_BYTES;
@@ -329,7 +333,7 @@
     if (call->claim != NULL) {
         struct sas_claims_claim *claim = call->claim;
         call->claim = NULL;
-        SasClaims_LeaveHeld(claim); /* ran, but too large to be kept */
+        SasClaims_LeaveHeld(claim); /* ran, but too large to be stored */
     }
     if (whole) {
         SasForwardCall_Complete(call);
@@ -416,10 +420,10 @@
     }
 }
 
-/* The connection seems to have gone silent. What may repeat is tried over
- * another one; without the backend server's own word that the request is
- * missing, only after half of the time is gone. What may not repeat waits
- * for its deadline: a second run would be worse than a late "unknown". */
+/* The connection seems to have stalled. An idempotent request is retried over
+ * a new one: at once if the backend server does not count it as running, else
+ * after half of the time to its deadline. Any other request waits for its
+ * deadline: a second run would be worse than a late "unknown". */
 static void
 attempt_on_stall(struct sas_upstream_call *attempt, bool unknown_to_server)
 {
@@ -435,8 +439,8 @@
     call->may_have_run = true;
     call->needs_new_connection = true;
     SasForwardCall_ReleaseGrant(call);
-    /* A silent connection is not the fault of its backend server, which may
-     * be asked again over a new one; a slow one is not asked twice. */
+    /* A stalled connection is no fault of its backend server, which may be
+     * tried again over a new one; a slow server is not. */
     if (!unknown_to_server) {
         note_tried(call);
     }
--- a/packages/node/src/forward_headers.c
+++ b/packages/node/src/forward_headers.c
@@ -1,9 +1,10 @@
-/* Which headers of a request and of an answer are passed on. */
+/* Filters the headers of requests and answers that are passed on. */
 #include <string.h>
 #include <strings.h>
 
 #include "forward_call.h"
 
+/* Hop-by-hop headers, and those that each hop sets itself. */
 static bool
 is_hop_by_hop(const char *name)
 {
@@ -22,7 +23,7 @@
     return false;
 }
 
-/* True when the Connection header names this one as its own. */
+/* True when the Connection header lists this one as hop-by-hop. */
 static bool
 is_named_by_connection(const char *connection, const char *name)
 {
--- a/packages/node/src/upstream.c
+++ b/packages/node/src/upstream.c
@@ -10,18 +10,17 @@
 #include "sas/metrics.h"
 
 struct backend_state {
-    struct sas_http_owner owner; /* first: told of closed connections */
+    struct sas_http_owner owner; /* first: on_closed */
     struct sas_upstream *upstream;
     int backend;
-    GQueue idle; /* of struct sas_http_conn, the latest used first */
+    GQueue idle; /* of struct sas_http_conn, most recently used first */
     int open_connections;
     GList *calls;        /* of struct sas_upstream_call */
-    struct probe *probe; /* the one in progress, or NULL */
-    int last_reported;   /* running and queued, as last stated */
+    struct probe *probe; /* in progress, or NULL */
+    int last_reported;   /* requests running and queued there */
     int64_t last_report_at;
-    int64_t reuse_disabled_until; /* it sent bytes that nobody asked for */
-    int64_t newest_answered_at;   /* a connection opened at or after this
-                                     moment has answered */
+    int64_t reuse_disabled_until;
+    int64_t newest_answered_opened_at; /* newest connection with an answer */
 };
 
 struct sas_upstream {
@@ -121,9 +120,9 @@
 {
     struct backend_state *state = &upstream->states[backend];
     int64_t now = (int64_t)uv_now(upstream->loop);
-    /* A kept connection may have gone silent a moment after it was last heard
-     * from, without either end being told. What may not repeat can't be tried
-     * again, so it goes over a new one, which costs one round trip. */
+    /* An idle connection may have stalled since it was last used, unnoticed by
+     * both ends. A request that must not be retried pays a round trip for a
+     * new one. */
     struct sas_http_conn *conn = NULL;
     if (!new_connection && now >= state->reuse_disabled_until) {
         conn = g_queue_pop_head(&state->idle);
@@ -169,8 +168,8 @@
     SasHttp_Resume(call->conn);
 }
 
-/* The share of a backend server's connections that this entry VM may keep
- * open without using them. */
+/* Whether one more connection may stay idle: at most half of this entry VM's
+ * share of the backend server's connections, at least one. */
 static bool
 may_keep(const struct sas_upstream *upstream, int backend)
 {
@@ -183,7 +182,7 @@
 
 /* Calls. */
 
-/* Keeps a report for check_call() and passes it on. */
+/* Records a report for check_call() and passes it on. */
 static void
 apply_report(struct sas_upstream *upstream, int backend,
              const struct sas_load_report *report)
@@ -218,22 +217,22 @@
     apply_report(upstream, backend, &report);
 }
 
-/* A connection opened at this moment has just answered. */
+/* Records an answer on a connection opened at opened_at. */
 static void
 note_answer(struct sas_upstream *upstream, int backend, int64_t opened_at)
 {
     struct backend_state *state = &upstream->states[backend];
-    if (opened_at > state->newest_answered_at) {
-        state->newest_answered_at = opened_at;
+    if (opened_at > state->newest_answered_opened_at) {
+        state->newest_answered_opened_at = opened_at;
     }
     upstream->listener->on_health(upstream->listener, backend, true);
 }
 
-/* A backend server answers late, or twice: the bytes arrive when the
- * connection already carries another caller's request, and would be read as
- * its answer. They show themselves by the id that such servers repeat, or by
- * coming while nothing was asked; from then on that server gets a new
- * connection for each request, on which nothing old can arrive. */
+/* Stops reusing connections to a backend server that answered late or twice:
+ * on a reused connection those bytes would be read as the answer to another
+ * caller's request. They are detected by a Sas-Request-Id of another request,
+ * or by arriving while no request is in progress. For SasUpstream_NO_REUSE_MS
+ * each request gets a new connection, on which no old bytes can arrive. */
 static void
 disable_reuse(struct sas_upstream *upstream, int backend)
 {
@@ -260,7 +259,7 @@
     struct sas_http_failure failure = {.sent = true, .written = true};
     SasError_Set(&failure.error, SAS_EIO, "upstream.answer",
                  call->upstream->model->backends[call->backend].name,
-                 "the answer of another request");
+                 "the answer belongs to another request");
     SasLog_WriteError(SasLog_WARN, &failure.error);
     remove_call(call);
     SasHttp_Close(call->conn);
@@ -440,8 +439,8 @@
     .on_fail = probe_on_fail,
 };
 
-/* A probe always opens a connection of its own: it is also the proof that
- * new connections work while a kept one is silent. */
+/* A probe always opens a connection of its own: its answer also shows that new
+ * connections work while a reused one is stalled. */
 void
 SasUpstream_Probe(struct sas_upstream *upstream, int backend)
 {
@@ -462,9 +461,9 @@
                  &probe->user);
 }
 
-/* Silent connections. */
+/* Stalled connections. */
 
-/* Closes the idle connections that are as old as a silent one. */
+/* Closes the idle connections that are as old as a stalled one, or older. */
 static void
 close_stale_idle(struct sas_upstream *upstream, struct backend_state *state,
                  int64_t opened_at)
@@ -476,16 +475,17 @@
         if (SasHttp_GetOpenedAt(conn) <= opened_at) {
             SasMetrics_Add(upstream->counters->metrics,
                            upstream->counters->closed_stale, 1);
-            SasHttp_Close(conn); /* leaves the idle list by on_closed */
+            SasHttp_Close(conn); /* on_conn_closed() unlinks it */
         }
     }
 }
 
-/* A device between us and a backend server may drop what it knows of old
- * connections: writes vanish, nothing is ever read, no error comes. It shows
- * as a kept connection without any answer while one opened later answers.
- * So a call that waits long on a kept connection asks for a probe over a
- * new one; once that has answered, the old connections are given up. */
+/* A device on the way to a backend server may drop its state of old
+ * connections: writes vanish, nothing is read, no error comes. A call that
+ * waits SasUpstream_STALL_MS on a reused connection starts a probe over a new
+ * one. Once that has answered, the call counts as stalled, and if the server
+ * does not count the request either, the idle connections of that age are
+ * closed. */
 static void
 check_call(struct sas_upstream *upstream, struct backend_state *state,
            struct sas_upstream_call *call, int64_t now)
@@ -495,14 +495,15 @@
         return;
     }
     int64_t opened_at = SasHttp_GetOpenedAt(call->conn);
-    bool newer_answered = state->newest_answered_at >= call->started_at &&
-                          state->last_report_at >= call->started_at;
+    bool newer_answered =
+        state->newest_answered_opened_at >= call->started_at &&
+        state->last_report_at >= call->started_at;
     if (!newer_answered) {
         SasUpstream_Probe(upstream, call->backend);
         return;
     }
-    /* A long request looks the same from here, but the backend server then
-     * counts it among those that it runs or has queued. */
+    /* A long request looks the same, but the backend server reports it as
+     * running or queued. */
     bool unknown_to_server =
         state->last_reported < (int)g_list_length(state->calls);
     if (unknown_to_server) {
--- a/packages/node/src/upstream.h
+++ b/packages/node/src/upstream.h
@@ -1,8 +1,8 @@
-/* upstream - the connections to backend servers, and what they say of their
- * load and health.
+/* upstream - connections to backend servers, and the servers' load and health.
  *
- * One call is one request on one connection. A connection goes back to the
- * idle list only after a whole answer. Times are loop milliseconds.
+ * One call is one request on one connection. A connection becomes idle, and
+ * may be reused, only after an answer that was framed to its end. Times are
+ * loop milliseconds.
  */
 #ifndef SAS_UPSTREAM_H
 #define SAS_UPSTREAM_H
@@ -25,14 +25,14 @@
     void (*on_end)(struct sas_upstream_call *call, bool whole);
     void (*on_fail)(struct sas_upstream_call *call,
                     const struct sas_http_failure *failure);
-    /* No byte of the answer for a while on a connection that was kept from
-     * before, although a new connection to the same backend server works.
-     * missing: the backend server states fewer requests than we have there.
-     * Told again and again until the call is cancelled or answered. */
+    /* No byte of the answer for SasUpstream_STALL_MS on a reused connection,
+     * while a newer one to the same backend server works. unknown_to_server:
+     * the server reports fewer requests than this node has in flight there.
+     * Repeated at each sweep until the call is cancelled or answered. */
     void (*on_stall)(struct sas_upstream_call *call, bool unknown_to_server);
 };
 
-/* The caller embeds it as first member. */
+/* Embedded as first member. */
 struct sas_upstream_call {
     struct sas_http_user user;
     const struct sas_upstream_vtable *vtable;
@@ -45,21 +45,22 @@
     int64_t started_at;
 };
 
-/* A statement of a backend server about itself. */
+/* A backend server's report of its own load. */
 struct sas_load_report {
     int running;
     int queued;
     int slots;
     bool leaving;
-    char incarnation[SasModel_NAME_SIZE]; /* "" when not stated */
-    int64_t asked_at; /* when the probe began; 0: not from a probe */
+    char incarnation[SasModel_NAME_SIZE]; /* "" when not reported */
+    int64_t asked_at; /* start of the probe; 0: from an answer's header */
 };
 
-/* Who hears of load reports; embedded as first member. */
+/* Receives load and health updates; embedded as first member. */
 struct sas_upstream_listener {
     void (*on_load)(struct sas_upstream_listener *listener, int backend,
                     const struct sas_load_report *report);
-    /* A connection could not be made, or was made again. */
+    /* reachable: an answer came. Else no byte of a request could be sent, or a
+     * probe failed. */
     void (*on_health)(struct sas_upstream_listener *listener, int backend,
                       bool reachable);
 };
@@ -71,20 +72,21 @@
 /* All calls must have ended or been cancelled. */
 void SasUpstream_Close(struct sas_upstream *upstream);
 
-/* Sends a request. fresh: over a new connection (for what may not repeat). */
+/* Sends a request. new_connection: does not reuse an idle one, for requests
+ * that must not be retried. */
 void SasUpstream_Send(struct sas_upstream *upstream, int backend,
                       const struct sas_http_request *request,
                       int64_t timeout_ms, bool new_connection,
                       const struct sas_upstream_vtable *vtable,
                       struct sas_upstream_call *call);
 
-/* Ends a call; the backend server sees its connection close. */
+/* Ends a call by closing its connection. */
 void SasUpstream_Cancel(struct sas_upstream_call *call);
 
 void SasUpstream_Pause(struct sas_upstream_call *call);
 void SasUpstream_Resume(struct sas_upstream_call *call);
 
-/* Asks a backend server for its load over a new or idle connection. */
+/* Requests a backend server's load over a new connection. */
 void SasUpstream_Probe(struct sas_upstream *upstream, int backend);
 
 #endif
