--- a/packages/node/src/lending.c
+++ b/packages/node/src/lending.c
@@ -9,32 +9,31 @@
 #include "sas/log.h"
 
 #define TICK_MS 50
-#define DISOWN_MS 200
+#define DISOWN_INTERVAL_MS 200
 #define CALL_TIMEOUT_MS 500
-/* VMs of the region that uses a budget most against those of others. */
+/* Floors of VMs in the region that uses a budget most, against the others. */
 #define LOCAL_WEIGHT 6
 #define REMOTE_WEIGHT 1
-#define RATE_LIFE_MS 3000
-/* Milli-units: one request; 100 ms of 100 Mbit/s. */
-#define REQUEST_QUANTUM 1000
-#define MBIT_QUANTUM 10000
-#define BURST_SHARE 0.1
+#define RATE_LOAN_MS 3000
+#define REQUEST_QUANTUM 1000 /* milli-requests */
+#define MBIT_QUANTUM 10000   /* milli-Mbit, 100 ms of 100 Mbit/s */
+#define BURST_SHARE 0.1      /* of a second's rate, may pass at once */
 #define NAME_SIZE (3 * SasModel_NAME_SIZE)
 
 struct budget_entry {
     uint64_t id;
     char name[NAME_SIZE];
     struct sas_budget core;
-    double cap;   /* of a shift: the one its floors are made from */
-    int64_t debt; /* of a rate: taken by a large request, not yet paid */
-    bool requesting;
+    double cap;   /* of a shift, from which the floors were computed; else 0 */
+    int64_t debt; /* of a rate: used beyond what was acquired, not yet paid */
+    bool requesting; /* a loan */
 };
 
 struct sas_lending {
     struct sas_lending_options options;
     struct sas_lending_listener *listener;
     struct sas_peer *peer;
-    GPtrArray *entries; /* of struct row; a handle is an index */
+    GPtrArray *entries; /* of struct budget_entry; a handle is an index */
     struct sas_rpc_budget *gossip_budgets;
     uv_timer_t timer;
     int64_t next_disown_ms;
@@ -42,13 +41,13 @@
     bool stopped;
 };
 
-/* A question to a peer on its way. */
+/* Context of an unanswered call to a peer. */
 struct pending_call {
     struct sas_lending *lending;
     int budget;
     int member_id;
     uint64_t loan;
-    uint32_t renewal; /* 0: for a new loan */
+    uint32_t renewal; /* sequence number; 0: a new loan */
 };
 
 static void on_tick(uv_timer_t *timer);
@@ -101,7 +100,7 @@
         .seats = lending->options.model->vm_count,
         .own_seat = lending->options.own_vm,
         .incarnation = lending->next_incarnation++,
-        .life_ms = is_rate ? RATE_LIFE_MS : SasBudget_LIFE_MS,
+        .life_ms = is_rate ? RATE_LOAN_MS : SasBudget_LIFE_MS,
         .quantum = get_quantum(unit),
     };
     SasBudget_Init(&entry->core, &settings, floors, epoch, SasPeer_GetNow());
@@ -159,9 +158,9 @@
              SasSheet_GetUnitName(shift->cap_unit));
 }
 
-/* What a region's backend servers are given at the same time: their slots,
- * and a short queue at each, without which a slot would stand idle while the
- * next request is on its way. */
+/* Concurrent requests of a region's backend servers: their execution slots and
+ * a short queue at each, without which a slot would be idle while the next
+ * request is in transit. */
 static void
 add_slots(struct sas_lending *lending, int service, int region)
 {
@@ -195,7 +194,7 @@
     const struct sas_model *model = options->model;
     if (model->vm_count > SasBudget_MAX_SEATS) {
         SasError_Set(error, SAS_ECAPACITY, "lending.open", NULL,
-                     "%d entry VMs; budgets have %d seats at most",
+                     "%d entry VMs; a budget supports %d at most",
                      model->vm_count, SasBudget_MAX_SEATS);
         return NULL;
     }
@@ -258,11 +257,11 @@
     return count;
 }
 
-/* The rate, in milli-units, that may be used all the time so that the cap is
- * not exceeded in any one second: each entry VM that has a floor may let pass
- * a tenth of a second's worth at once, or one quantum where that is more.
- * Only those of the target's region have one, the others borrow; all
- * have one where that region has no entry VM. */
+/* The steady rate, in milli-units a second, that keeps any one second within
+ * the cap, at least half of it: each entry VM with a floor may burst by a
+ * tenth of a second's rate, or by one quantum where that is more. Only VMs of
+ * the target region have floors, the others borrow; where that region has no
+ * VM, all have floors. */
 static double
 get_steady_rate(const struct sas_lending *lending,
                 const struct sas_shift *shift)
@@ -274,10 +273,11 @@
     return MAX((cap - bursts) / (1 + BURST_SHARE), cap / 2);
 }
 
-/* A changed cap starts its budget anew: until the peers have said that they
- * hold no loan of the old one, only the reserve of the new floor is used.
- * The floors of two versions have the same proportions, so nodes that are
- * at different versions never use more than the higher of the two caps. */
+/* A changed concurrent cap moves to its new floors as a new epoch. A changed
+ * rate cap restarts its budget: until the peers have confirmed that they hold
+ * no loan of the old one, only the reserve of the new floor is used. The
+ * floors of two versions have the same proportions, so nodes at different
+ * versions never use more than the higher of the two caps. */
 static void
 set_cap(struct sas_lending *lending, const struct sas_plan *plan,
         const struct sas_shift *shift)
@@ -327,7 +327,7 @@
 SasLending_FindSlots(const struct sas_lending *lending, int service,
                      int region)
 {
-    /* The slots stand first, in this order. */
+    /* SasLending_Open() adds the slots first, in this order. */
     return service * lending->options.model->region_count + region;
 }
 
@@ -357,7 +357,7 @@
     for (guint i = 0; i < lending->entries->len; i++) {
         const struct budget_entry *entry = get_entry(lending, (int)i);
         if (entry->cap == 0 &&
-            entry->core.recovering) { /* no cap of a shift */
+            entry->core.recovering) { /* caps of shifts don't count */
             return true;
         }
     }
@@ -408,18 +408,18 @@
         return !lending->stopped;
     }
     struct budget_entry *entry = get_entry(lending, budget);
-    /* A request larger than the quantum is let pass for a quantum; what it
-     * took besides is paid before anything else may pass. Otherwise large
-     * uploads would count for less than they are. */
-    int64_t most = entry->core.settings.quantum;
+    /* A request larger than the quantum passes for one quantum. The rest is
+     * debt, paid before another request passes; otherwise large uploads would
+     * exceed the rate. */
+    int64_t quantum = entry->core.settings.quantum;
     int64_t now = SasPeer_GetNow();
     while (entry->debt > 0 &&
-           SasBudget_TakeRate(&entry->core, MIN(entry->debt, most), now)) {
-        entry->debt -= MIN(entry->debt, most);
+           SasBudget_TakeRate(&entry->core, MIN(entry->debt, quantum), now)) {
+        entry->debt -= MIN(entry->debt, quantum);
     }
     if (entry->debt == 0 &&
-        SasBudget_TakeRate(&entry->core, MIN(amount, most), now)) {
-        entry->debt += amount - MIN(amount, most);
+        SasBudget_TakeRate(&entry->core, MIN(amount, quantum), now)) {
+        entry->debt += amount - MIN(amount, quantum);
         return true;
     }
     request_loan(lending, budget);
@@ -528,7 +528,8 @@
 on_return_answer(void *context, const struct sas_error *error,
                  const union sas_proto_body *body)
 {
-    /* A lost return just waits for the loan's end. */
+    /* If the call is lost, the lender has its units back when the loan ends.
+     */
     (void)context;
     (void)error;
     (void)body;
@@ -598,8 +599,8 @@
     }
 }
 
-/* Asks each peer whether it holds loans of an earlier process of this seat;
- * once all have said no, the whole floor may be used. */
+/* Asks each peer to confirm that it holds no loan of an earlier process of
+ * this entry VM. Once all have, the whole floor may be used. */
 static void
 request_disowns(struct sas_lending *lending)
 {
@@ -644,7 +645,7 @@
         maintain_loans(lending, (int)i);
     }
     if (now >= lending->next_disown_ms) {
-        lending->next_disown_ms = now + DISOWN_MS;
+        lending->next_disown_ms = now + DISOWN_INTERVAL_MS;
         request_disowns(lending);
     }
 }
@@ -724,7 +725,7 @@
     u_int kept = 0;
     for (u_int i = 0; i < list->rows.rows_len; i++) {
         int budget = find_entry(lending, list->rows.rows_val[i].budget);
-        /* A budget that is not known here was never borrowed from. */
+        /* Nothing was ever borrowed of a budget that is unknown here. */
         if (budget == SasModel_NONE ||
             SasBudget_Disown(&get_entry(lending, budget)->core, member_id,
                              SasPeer_GetNow())) {
