--- a/packages/node/src/admin.c
+++ b/packages/node/src/admin.c
@@ -19,16 +19,17 @@
     uint64_t next_operation;
 };
 
-/* In the request's memory: tells its call when that memory goes. */
+/* Allocated in the request's memory, whose disposal it reports to the call. */
 struct admin_link {
     struct admin_call *call;
 };
 
-/* A call that waits for the store. It is freed by its answer; when the
- * request goes before that, req is NULL. */
+/* A call that waits for the store, which frees it with its answer. req is NULL
+ * once the request's memory is gone. */
 struct admin_call {
-    struct sas_put_listener put_user;         /* first */
-    struct sas_history_listener history_user; /* for history and operations */
+    struct sas_put_listener put_listener; /* first */
+    struct sas_history_listener
+        history_listener; /* for history and operations */
     struct sas_admin *admin;
     h2o_req_t *req;
     struct admin_link *link;
@@ -109,8 +110,8 @@
     return 0;
 }
 
-/* Compares the whole token whatever differs, so that the time taken tells
- * nothing about how much of a guess was right. */
+/* Compares the token in constant time, so that timing does not reveal how much
+ * of a guess is right. */
 static bool
 is_authorized(struct sas_admin *admin, h2o_req_t *req)
 {
@@ -187,7 +188,7 @@
     }
 }
 
-/* The request's memory goes before its call has been answered. */
+/* The request's memory is freed, perhaps before its call was answered. */
 static void
 on_request_gone(void *data)
 {
@@ -207,7 +208,7 @@
     call->link =
         h2o_mem_alloc_shared(&req->pool, sizeof(*call->link), on_request_gone);
     call->link->call = call;
-    call->put_user.on_answer = on_put_answer;
+    call->put_listener.on_answer = on_put_answer;
     return call;
 }
 
@@ -226,7 +227,7 @@
     return true;
 }
 
-/* Reads the operation's headers; 0, or -1 after having answered. */
+/* Reads the headers of a change; -1 when one is invalid and was answered. */
 static int
 read_put_headers(struct sas_admin *admin, h2o_req_t *req, struct sas_put *put)
 {
@@ -287,7 +288,7 @@
     put.sheet = req->entity.len > 0 ? req->entity.base : "";
     put.sheet_size = req->entity.len;
     SasConfigStore_Put(admin->options.config_store, &put,
-                       &create_call(admin, req)->put_user);
+                       &create_call(admin, req)->put_listener);
     return 0;
 }
 
@@ -317,7 +318,7 @@
                              "no backend server or entry VM of this name");
     }
     SasConfigStore_Put(admin->options.config_store, &put,
-                       &create_call(admin, req)->put_user);
+                       &create_call(admin, req)->put_listener);
     return 0;
 }
 
@@ -354,8 +355,7 @@
                              json_object_get(row, "version"));
         }
     }
-    /* It may still be on its way, so it is not called lost: putting it
-     * again with the same id settles it. */
+    /* It may still be in progress. Putting it again with the same id tells. */
     return json_pack("{s:s, s:s, s:i}", "operation", operation, "state",
                      "unknown", "version", 0);
 }
@@ -365,7 +365,7 @@
 {
     struct admin_call *call =
         (struct admin_call *)((char *)user -
-                              offsetof(struct admin_call, history_user));
+                              offsetof(struct admin_call, history_listener));
     h2o_req_t *req = call->req;
     bool is_operation = call->is_operation;
     g_autofree char *operation = g_strdup(call->operation);
@@ -389,13 +389,13 @@
 get_history(struct sas_admin *admin, h2o_req_t *req, const char *operation)
 {
     struct admin_call *call = create_call(admin, req);
-    call->history_user.on_history = on_history;
+    call->history_listener.on_history = on_history;
     if (operation != NULL) {
         call->is_operation = true;
         g_strlcpy(call->operation, operation, sizeof(call->operation));
     }
     SasConfigStore_ReadHistory(admin->options.config_store,
-                               &call->history_user);
+                               &call->history_listener);
     return 0;
 }
 
--- a/packages/node/src/admin.h
+++ b/packages/node/src/admin.h
@@ -1,7 +1,7 @@
-/* admin - the task that owns the admin port: operators' calls.
+/* admin - the HTTP API of the admin port, for operators.
  *
- * Both modes of the daemon use it: what a node can say of itself comes through
- * struct sas_admin_view, everything that concerns the sheet through configure.
+ * Both modes of the daemon use it: struct sas_admin_view supplies the node's
+ * status, config_store the sheet and its history.
  */
 #ifndef SAS_ADMIN_H
 #define SAS_ADMIN_H
@@ -12,23 +12,23 @@
 
 struct sas_admin;
 
-/* Embed it as first member. */
+/* Embedded as first member. */
 struct sas_admin_view {
     bool (*is_ready)(struct sas_admin_view *view);
     int64_t (*get_version)(struct sas_admin_view *view);
-    /* The members of the status that only this mode has. */
+    /* The mode's own members of /v1/status; a new object. */
     json_t *(*describe)(struct sas_admin_view *view);
 };
 
 struct sas_admin_options {
     uv_loop_t *loop;
-    const char *vm; /* the own name */
+    const char *vm; /* this entry VM's name */
     const struct sas_model *model;
     struct sas_metrics *metrics;
     struct sas_config_store *config_store;
     struct sas_admin_view *view;
-    const char *token; /* that operators show; NULL: none is asked for */
-    bool read_only;    /* nothing may be changed by this port */
+    const char *token; /* bearer token of operators; NULL: none required */
+    bool read_only;    /* refuses changes */
     int64_t (*get_wall_ms)(void);
 };
 
@@ -37,10 +37,10 @@
                                 struct sas_error *error);
 void SasAdmin_Close(struct sas_admin *admin);
 
-/* Calls that wait for the store, and their callers for an answer. */
+/* Calls that wait for the store and are not answered yet. */
 int SasAdmin_CountWaiting(const struct sas_admin *admin);
 
-/* Takes no connection and no call any more. */
+/* Stops accepting connections and reading calls. */
 void SasAdmin_End(struct sas_admin *admin);
 
 #endif
--- a/packages/node/src/caller.c
+++ b/packages/node/src/caller.c
@@ -16,23 +16,23 @@
     GList *exchanges; /* of struct exchange */
     uv_timer_t sweep;
     bool stopping;
-    int64_t refusing_since; /* microseconds, real time; 0: it does not */
+    int64_t refusing_since; /* microseconds, real time; 0: not refusing */
 };
 
-/* A request with h2o's side and the forwarder's side. It lives in the
- * request's own memory and goes with it. */
+/* A request between h2o and the forwarder, allocated in the request's own
+ * memory. */
 struct exchange {
     struct sas_forward_reply reply; /* first: the vtable */
     h2o_generator_t generator;
     struct sas_caller *caller;
     h2o_req_t *req;
     struct sas_forward_call *call; /* NULL once it has ended */
-    GString *sending;              /* with h2o until it asks for more */
+    GString *sending;              /* owned by h2o until on_proceed() */
     GString *pending;
-    bool started;  /* the answer's head was passed to h2o */
-    bool h2o_busy; /* h2o has the bytes in sending */
+    bool started;  /* an answer's head was passed to h2o */
+    bool h2o_busy; /* h2o is sending */
     bool ended;    /* no more bytes will come */
-    bool aborted;  /* over, but not whole */
+    bool aborted;  /* ended before the answer was complete */
     bool paused;
     bool gone;
 };
@@ -95,8 +95,8 @@
 int
 SasCaller_CountActive(const struct sas_caller *caller)
 {
-    /* h2o hands a request over when its body is whole. A stop that counted
-     * only those would break the connection of an upload half way. */
+    /* h2o hands over a request when its body is complete. A shutdown that
+     * counted only those would break uploads in progress. */
     return MAX((int)g_list_length(caller->exchanges),
                SasH2oServer_CountRequests(caller->server));
 }
@@ -150,7 +150,7 @@
     return 0;
 }
 
-/* Answers on their way to h2o. */
+/* Passing answers to h2o. */
 
 static void
 send_next(struct exchange *exchange)
@@ -193,7 +193,7 @@
     send_next(exchange);
 }
 
-/* h2o gives up the answer: the caller's connection is gone. */
+/* h2o drops the answer: the caller's connection is closed. */
 static void
 on_stop(h2o_generator_t *generator, h2o_req_t *req)
 {
@@ -209,7 +209,7 @@
     }
 }
 
-/* The request's memory goes. */
+/* The request's memory is freed. */
 static void
 on_dispose(void *data)
 {
@@ -307,7 +307,7 @@
     .on_abort = reply_on_abort,
 };
 
-/* Before any part of an answer is out. */
+/* Ends a request before any part of its answer was sent. */
 static void
 fail_exchange(struct exchange *exchange, enum sas_refusal reason)
 {
@@ -333,9 +333,9 @@
     }
 }
 
-/* h2o does not read while a request is in progress, so it does not see that
- * its caller has gone. Without this look at the socket a backend server
- * would work on for nobody. */
+/* h2o does not read while a request is in progress, so it does not notice that
+ * the caller has disconnected. Without this check of the socket a backend
+ * server would keep working on a request without a caller. */
 static void
 on_sweep(uv_timer_t *timer)
 {
@@ -352,7 +352,8 @@
 
 /* Requests. */
 
-/* Parts "/s/SERVICE/PATH?QUERY"; the target starts at PATH's slash. */
+/* Parses "/s/SERVICE/PATH?QUERY"; *target starts at PATH's slash and is "/"
+ * without one. */
 static int
 find_service(const struct sas_model *model, const char *path,
              const char **target)
@@ -369,8 +370,8 @@
     return SasModel_FindService(model, service);
 }
 
-/* The path as h2o normalized it, "/s/SERVICE/PATH", from PATH's slash on and
- * with single slashes; NULL when it leads to another service. */
+/* PATH of "/s/SERVICE/PATH" as normalized by h2o, with single slashes; NULL
+ * when normalization leads to another service. */
 static const char *
 get_route(h2o_req_t *req, const struct sas_model *model, int service)
 {
@@ -410,8 +411,8 @@
     return strcmp(method, "GET") == 0 || strcmp(method, "HEAD") == 0;
 }
 
-/* A head that a backend server finds too large ends its connection, and the
- * caller would hear that its request may have run. */
+/* A backend server closes the connection on a head that is too large, and the
+ * caller would be told that its request may have run. */
 static bool
 is_head_too_large(const h2o_req_t *req)
 {
@@ -438,7 +439,8 @@
     return true;
 }
 
-/* Fills in the deadline and the identities; false when a header is wrong. */
+/* Reads the deadline, the idempotency key and the caller's identity; false
+ * when one is invalid. */
 static bool
 read_headers(h2o_req_t *req, const struct sas_service *service,
              struct sas_forward_request *request, const char *ip)
@@ -479,7 +481,7 @@
     return exchange;
 }
 
-/* When its first byte came, microseconds of real time. */
+/* Arrival of its first byte, microseconds of real time. */
 static int64_t
 get_begin_us(const h2o_req_t *req)
 {
@@ -535,7 +537,7 @@
     return 0;
 }
 
-/* Look-ups. */
+/* Lookups. */
 
 static json_t *
 describe_vm(const struct sas_model *model, int index)
--- a/packages/node/src/caller.h
+++ b/packages/node/src/caller.h
@@ -1,4 +1,4 @@
-/* caller - the task that owns the caller port: look-ups and requests.
+/* caller - the HTTP API of the caller port: lookups and requests.
  */
 #ifndef SAS_CALLER_H
 #define SAS_CALLER_H
@@ -23,22 +23,22 @@
                                   struct sas_error *error);
 void SasCaller_Close(struct sas_caller *caller);
 
-/* Stopping: answers end their connections, health says not ready. */
+/* Begins the shutdown: answers close their connections, health reports not
+ * ready. */
 void SasCaller_StartStopping(struct sas_caller *caller);
 
-/* Requests that begin to arrive from now on are refused as not run. */
+/* Refuses requests whose first byte arrives from now on, as not run. */
 void SasCaller_RefuseRequests(struct sas_caller *caller);
 
-/* Requests that are still arriving, and answers that are not yet with their
- * callers. */
+/* Requests that are arriving or in progress, until h2o has sent the answer. */
 int SasCaller_CountActive(const struct sas_caller *caller);
 
-/* At a stop's limit: requests without an answer are ended, and their callers
- * told that they may have run. The answers need a turn of the loop. */
+/* At the shutdown deadline: answers pending requests with the outcome
+ * "unknown". Sending takes a turn of the loop. */
 void SasCaller_FailPending(struct sas_caller *caller);
 
-/* While none is active: takes no new connection. True once the last answers
- * have been left to their callers; from then on nothing more is read. */
+/* To be called repeatedly once none is active: stops listening. True when no
+ * lingering close is in progress any more; then it also stops reading. */
 bool SasCaller_End(struct sas_caller *caller);
 
 #endif
--- a/packages/node/src/h2o_server.c
+++ b/packages/node/src/h2o_server.c
@@ -11,10 +11,8 @@
 #include "sas/metrics.h"
 
 #define SWEEP_MS 50
-/* Bodies up to this size are still taken while memory is short. */
-#define SMALL_BODY_BYTES 65536
-/* For so long what comes behind a closing answer is read away. */
-#define LINGER_MS 1000
+#define SMALL_BODY_BYTES 65536 /* accepted even over bodies_limit */
+#define LINGER_MS 1000         /* input is discarded after the last answer */
 
 struct sas_h2o_server {
     uv_loop_t *loop;
@@ -41,13 +39,13 @@
 struct connection {
     uv_tcp_t tcp; /* first: libuv's handle is freed as a whole */
     struct sas_h2o_server *server;
-    h2o_socket_t *socket; /* h2o's; gone once the handle is closing */
-    int linger_fd;        /* a second descriptor of it; -1: none */
-    size_t held_bytes;    /* of its request, as last seen */
-    int64_t active_at;    /* when bytes came, or a request was running */
+    h2o_socket_t *socket; /* h2o's; invalid once the handle is closing */
+    int linger_fd;        /* duplicate for a lingering close; -1: none */
+    size_t held_bytes;    /* input buffered at the last sweep */
+    int64_t active_at;    /* last sweep with input or a running request */
 };
 
-/* A connection that h2o has closed behind its last answer. */
+/* A connection in a lingering close: h2o has closed its own descriptor. */
 struct lingering {
     uv_poll_t poll; /* first: libuv's handle is freed as a whole */
     struct sas_h2o_server *server;
@@ -73,7 +71,7 @@
     struct sas_h2o_server *server = g_new0(struct sas_h2o_server, 1);
     server->loop = loop;
     server->limits = *limits;
-    /* VMs have no disks: bodies stay in memory. */
+    /* The VMs have no disks: no temporary files for bodies. */
     h2o_socket_buffer_mmap_settings.threshold = SIZE_MAX;
     h2o_config_init(&server->config);
     server->config.server_name = h2o_iovec_init(H2O_STRLIT("sassafrassill"));
@@ -159,8 +157,8 @@
     }
 }
 
-/* Where there were connections the context stays: they may still refer to it,
- * and the process is about to end. */
+/* With open connections the context is kept, since they may still refer to
+ * it; the process is about to end. */
 static void
 release(struct sas_h2o_server *server, bool unused)
 {
@@ -171,7 +169,7 @@
         h2o_context_dispose(&server->context);
     }
     h2o_config_dispose(&server->config);
-    /* The timers of the context are closed in the loop's next turn. */
+    /* The context's timers close in the next turn of the loop. */
     uv_run(server->loop, UV_RUN_NOWAIT);
     g_hash_table_destroy(server->by_socket);
     g_free(server);
@@ -196,7 +194,7 @@
     release(server, unused);
 }
 
-/* Closing behind an answer. */
+/* Lingering close. */
 
 static void
 on_linger_closed(uv_handle_t *handle)
@@ -213,7 +211,7 @@
     close(lingering->fd);
 }
 
-/* True when the other end has closed it too. */
+/* True when the caller has closed the connection too, or on an error. */
 static bool
 discard_input(int fd)
 {
@@ -235,8 +233,10 @@
     }
 }
 
-/* A socket that is closed over bytes which nobody has read resets its
- * connection, and what of the answer is still on its way is lost. */
+/* Closing a socket with unread input resets the connection, and the part of
+ * the answer that is still in transit is lost. So the socket is closed for
+ * writing only, and its input is discarded until the caller closes too or
+ * LINGER_MS have passed. */
 static void
 begin_linger(struct sas_h2o_server *server, int fd)
 {
@@ -315,7 +315,7 @@
     else if (connection->linger_fd >= 0) {
         begin_linger(connection->server, connection->linger_fd);
     }
-    /* The memory of h2o's socket may be in use again for a new one. */
+    /* The address of h2o's socket may have been reused by a new one. */
     GHashTable *table = connection->server->by_socket;
     if (g_hash_table_lookup(table, connection->socket) == connection) {
         g_hash_table_remove(table, connection->socket);
@@ -343,17 +343,16 @@
         uv_close((uv_handle_t *)&connection->tcp, on_refused_closed);
         return;
     }
-    /* More callers than this would take the memory of those in progress. */
+    /* More connections would take memory from requests in progress. */
     if (server->connections >= server->limits.max_connections) {
         SasMetrics_Add(server->metrics, server->refused_connections, 1);
         uv_close((uv_handle_t *)&connection->tcp, on_refused_closed);
         return;
     }
-    /* Only while there is somebody to look after: an idle port of a small VM
-     * would otherwise wake its process twenty times a second. One that runs is
-     * left alone: callers with a short connection each would start it anew
-     * before it is due, errors would not be counted and the limit of bodies
-     * would stay where it is. */
+    /* The sweep runs only while there are connections: an idle port would
+     * otherwise wake the process of a small VM 20 times a second. It is not
+     * restarted while it runs: with many short connections it would never be
+     * due, errors would not be counted and the body limit not updated. */
     server->connections++;
     if (!uv_is_active((uv_handle_t *)&server->sweep)) {
         uv_timer_start(&server->sweep, on_sweep, SWEEP_MS, SWEEP_MS);
@@ -408,9 +407,10 @@
     return 0;
 }
 
-/* h2o limits the time of a request's arrival from its start, which would cut
- * off uploads over slow links, steady as they are. That limit is long; here
- * those are cut off that have stopped sending, or send nothing. */
+/* Closes connections without input for SasCaller_READ_TIMEOUT_MS while none of
+ * their requests is running. h2o's own limit counts from the start of a
+ * request and would end slow but steady uploads; it is set to the longer
+ * SasCaller_ARRIVAL_LIMIT_MS. */
 static void
 close_idle_senders(struct sas_h2o_server *server)
 {
@@ -438,7 +438,7 @@
     }
 }
 
-/* h2o answers by itself what never becomes a request, and counts that. */
+/* h2o itself answers malformed requests, and counts them. */
 static void
 count_errors(struct sas_h2o_server *server)
 {
@@ -451,9 +451,10 @@
     server->reported_errors = sum;
 }
 
-/* Many large uploads at a time would fill the memory of a small VM, and it
- * would be killed with all requests in progress. h2o bounds each body; this
- * bounds their sum: over it, only small bodies are taken until it falls. */
+/* Periodic checks. Among them the limit of the sum of all bodies, since h2o
+ * limits only each body: many large uploads at once would fill the memory of a
+ * small VM, and its process would be killed with all requests in progress.
+ * Over the limit only small bodies are accepted. */
 static void
 on_sweep(uv_timer_t *timer)
 {
@@ -537,8 +538,9 @@
     req->res.status = status;
     req->res.reason = SasHttp_GetReason(status);
     SasH2oServer_AddHeader(req, "content-type", content_type);
-    /* Without it h2o ends answers from 400 on by closing the connection, and
-     * a careful client can't tell them from cut ones. */
+    /* Without a length h2o ends answers with a status of 400 and more by
+     * closing the connection, and a client can't tell them from truncated
+     * ones. */
     req->res.content_length = size;
     h2o_send_inline(req, body, size);
 }
--- a/packages/node/src/h2o_server.h
+++ b/packages/node/src/h2o_server.h
@@ -1,8 +1,8 @@
-/* server - an h2o server on one port of the loop.
+/* h2o_server - an HTTP/1.1 server on one port, by h2o on the libuv loop.
  *
- * Handlers are added before Listen. HTTP/1.1 only; request bodies arrive
- * whole and bounded, the sum of all bodies held is bounded too, connections
- * are bounded, and a sender that takes too long is cut off.
+ * Handlers are added before Listen and get requests with their whole body.
+ * Limits: each body, the sum of all bodies in memory, the number of
+ * connections, and the time that a sender may pause.
  */
 #ifndef SAS_H2O_SERVER_H
 #define SAS_H2O_SERVER_H
@@ -22,7 +22,7 @@
 
 /* A handler for a path and everything below it. */
 struct sas_h2o_server_handler {
-    h2o_handler_t base; /* first: h2o's own vtable */
+    h2o_handler_t base; /* first: h2o's vtable */
     int (*on_request)(struct sas_h2o_server_handler *handler, h2o_req_t *req);
     void *data;
 };
@@ -30,8 +30,8 @@
 struct sas_metrics;
 
 struct sas_h2o_server_limits {
-    size_t body_limit;   /* one request's body, bytes */
-    size_t bodies_limit; /* all bodies held, bytes */
+    size_t body_limit;   /* bytes, of one request's body */
+    size_t bodies_limit; /* bytes, of all bodies in memory */
     int max_connections;
 };
 
@@ -46,22 +46,24 @@
                         struct sas_error *error);
 void SasH2oServer_StopListening(struct sas_h2o_server *server);
 
-/* The loop must run once more afterwards; all connections are closed. */
+/* Runs the loop until the server's own handles are closed. Open connections
+ * get a graceful shutdown by h2o; the server's memory then stays until the
+ * process ends. */
 void SasH2oServer_Close(struct sas_h2o_server *server);
 
-/* Counts what the server refuses by itself: sas_http_errors_total (answers
- * to what is no request, or too large) and sas_connections_refused_total
- * (over max_connections), with the label port="NAME". */
+/* Counts what no handler sees, with the label port="NAME":
+ * sas_http_errors_total (malformed or too large requests, answered by h2o) and
+ * sas_connections_refused_total (over max_connections). */
 void SasH2oServer_RegisterCounters(struct sas_h2o_server *server,
                                    struct sas_metrics *metrics,
                                    const char *port);
 
-/* Requests of which some bytes are held: still arriving, or in progress. */
+/* Requests with bytes in memory: arriving or in progress. */
 int SasH2oServer_CountRequests(struct sas_h2o_server *server);
 
 /* Requests. */
 
-/* A copy with an ending NUL in the request's own memory. */
+/* A NUL-terminated copy in the request's memory. */
 char *SasH2oServer_CopyText(h2o_req_t *req, h2o_iovec_t text);
 
 /* A header's value or NULL; a query parameter's value, decoded, or NULL. */
@@ -71,27 +73,28 @@
 void SasH2oServer_AddHeader(h2o_req_t *req, const char *name,
                             const char *value);
 
-/* Answers with a text of this content type. */
+/* Answers with a whole body. */
 void SasH2oServer_Answer(h2o_req_t *req, int status, const char *content_type,
                          const char *body, size_t size);
 
-/* The caller's IPv4 address in host byte order, 0 when it is another. */
+/* The caller's IPv4 address in host byte order, 0 for other families; text
+ * gets it in text form. */
 uint32_t SasH2oServer_GetCallerIp(h2o_req_t *req, char *text,
                                   size_t text_size);
 
-/* The answer to this request is the last one on its connection. What its
- * caller sends behind the request is read away for a moment, so that the whole
- * answer reaches it. Before the answer is begun. */
+/* Closes the connection after the answer to this request, by a lingering
+ * close: further input is discarded for a moment, so that the whole answer
+ * reaches the caller. To be called before the answer is started. */
 void SasH2oServer_CloseAfterAnswer(struct sas_h2o_server *server,
                                    h2o_req_t *req);
 
-/* Connections that are being closed so. */
+/* Connections in a lingering close. */
 int SasH2oServer_CountLingering(const struct sas_h2o_server *server);
 
-/* Nothing more is read, whatever the loop does before it ends. */
+/* Stops reading on all connections. */
 void SasH2oServer_StopReading(struct sas_h2o_server *server);
 
-/* True when the other end has closed its connection. */
+/* True when the caller has closed its connection. */
 bool SasH2oServer_IsGone(h2o_req_t *req);
 
 #endif
