--- a/packages/node/src/main.c
+++ b/packages/node/src/main.c
@@ -1,4 +1,5 @@
-/* sassafrassilld - the process of an entry VM. */
+/* sassafrassilld - the daemon of an entry VM, in standalone or platform mode.
+ */
 #include <glib.h>
 #include <stdio.h>
 #include <stdlib.h>
@@ -67,11 +68,11 @@
     struct options options = {0};
     const GOptionEntry entries[] = {
         {"settings", 's', 0, G_OPTION_ARG_FILENAME, &options.settings,
-         "The deployment's settings (TOML)", "FILE"},
+         "Run in standalone mode with these settings (TOML)", "FILE"},
         {"platform-settings", 'p', 0, G_OPTION_ARG_FILENAME, &options.platform,
-         "Run on the users' platform, by its settings file", "FILE"},
+         "Run in platform mode with these settings", "FILE"},
         {"vm", 'v', 0, G_OPTION_ARG_STRING, &options.vm,
-         "Which entry VM of the settings this process is", "NAME"},
+         "This entry VM's name in the settings", "NAME"},
         {"log", 'l', 0, G_OPTION_ARG_FILENAME, &options.log,
          "Append the log to this file (default: standard error)", "FILE"},
         {"check-settings", 0, 0, G_OPTION_ARG_NONE, &options.check,
@@ -81,8 +82,8 @@
     GOptionContext *context = g_option_context_new("- steer traffic");
     g_option_context_set_description(
         context, "Exit status: 0 stopped gracefully, 1 could not start, "
-                 "2 wrong usage or settings, 3 the stop outlasted its "
-                 "limit.\n");
+                 "2 wrong usage or settings, 3 requests were pending at the "
+                 "shutdown deadline.\n");
     g_option_context_add_main_entries(context, entries, NULL);
     g_autoptr(GError) reason = NULL;
     bool parsed = g_option_context_parse(context, &argc, &argv, &reason);
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -43,7 +43,7 @@
     uv_loop_t loop;
     const struct sas_settings *settings;
     int own_vm;
-    char identity[SasModel_NAME_SIZE + 32]; /* of this process */
+    char identity[SasModel_NAME_SIZE + 32]; /* unique to this process */
     GRand *random;
     struct sas_counters counters;
     struct sas_store *store;
@@ -63,11 +63,11 @@
     uv_signal_t signals[3];
     uv_timer_t stop_timer;
     int64_t stopping_at; /* 0: not stopping */
-    bool pending_failed; /* requests, at the stop's limit */
+    bool pending_failed; /* pending requests, at the shutdown deadline */
     int exit_status;
 };
 
-/* Messages between tasks. */
+/* Callbacks between tasks. */
 
 #define NODE_OF(pointer, member)                                              \
     ((struct sas_node *)((char *)(pointer)-offsetof(struct sas_node, member)))
@@ -112,7 +112,7 @@
     SasRouter_ApplyVms(node->router, list);
 }
 
-/* What operators see of this node. */
+/* Status for operators. */
 
 static bool
 is_ready(struct sas_admin_view *view)
@@ -194,12 +194,12 @@
     SasForward_Wake(node->forward);
 }
 
-/* Stopping. */
+/* Shutdown. */
 
 static void
 end_loop(struct sas_node *node, int status)
 {
-    /* The loop still polls once. */
+    /* After uv_stop() the loop still polls once; nothing may be read then. */
     SasAdmin_End(node->admin);
     node->exit_status = status;
     uv_stop(&node->loop);
@@ -214,8 +214,8 @@
                  SasCaller_CountActive(node->caller) +
                  SasClaims_CountActive(node->claims) +
                  SasAdmin_CountWaiting(node->admin);
-    /* Callers may still hold look-ups that name this VM; it serves them
-     * until those have died. */
+    /* Callers may hold lookups that name this VM; it serves them until those
+     * have expired. */
     if (elapsed < node->settings->drain_notice_ms) {
         return;
     }
@@ -223,10 +223,10 @@
     bool past_limit = elapsed >= node->settings->stop_limit_ms;
     if (past_limit && active > 0 && !node->pending_failed) {
         SasLog_Write(SasLog_ERROR, "node.stop", NULL,
-                     "the limit is over with %d requests in progress", active);
+                     "shutdown deadline: %d requests are in progress", active);
         node->pending_failed = true;
         SasCaller_FailPending(node->caller);
-        return; /* ends with the next tick, when the answers are out */
+        return; /* ends at the next tick, when the answers are sent */
     }
     if (past_limit || (active == 0 && SasCaller_End(node->caller))) {
         end_loop(node, node->pending_failed ? EXIT_STOP_LIMIT : EXIT_STOPPED);
@@ -244,15 +244,15 @@
                    STOP_TICK_MS);
 }
 
-/* A VM that was frozen and replaced wakes up and still believes that it has
- * its seat: two processes would use the same floors of every budget. The
- * peers tell the older one, which grants nothing new and ends. */
+/* A VM that was paused and replaced resumes without knowing it: two processes
+ * would use the same floors of every budget. The peers refuse the older
+ * incarnation; its process grants nothing any more and shuts down. */
 static void
 on_replaced(struct sas_peer_sync_listener *listener)
 {
     struct sas_node *node = NODE_OF(listener, peer_sync_listener);
     SasLog_Write(SasLog_ERROR, "node.replaced", NULL,
-                 "another process has this seat; this one stops");
+                 "another process replaced this one; shutting down");
     SasLending_Stop(node->lending);
     SasCaller_RefuseRequests(node->caller);
     if (node->stopping_at == 0) {
@@ -266,13 +266,13 @@
     struct sas_node *node = handle->data;
     if (number == SIGHUP) {
         SasLog_Write(SasLog_INFO, "node.reload", NULL,
-                     "signal %d: the settings hold until the next start",
+                     "signal %d: settings are read at the next start only",
                      number);
         return;
     }
     if (node->stopping_at != 0) {
         SasLog_Write(SasLog_WARN, "node.stop", NULL,
-                     "signal %d again: the stop is in progress", number);
+                     "signal %d again: shutdown is in progress", number);
         return;
     }
     SasLog_Write(SasLog_INFO, "node.stop", NULL, "signal %d: stopping",
--- a/packages/node/src/peer_sync.c
+++ b/packages/node/src/peer_sync.c
@@ -10,11 +10,11 @@
 #include "sas/secret.h"
 
 #define TICK_MS 250
-/* A report this old says nothing any more and is not passed on. */
-#define MAX_LOAD_AGE_MS 5000
-/* Without a key file (one VM on loopback) this stands for the key. */
+#define MAX_LOAD_AGE_MS 5000 /* older reports are neither sent nor applied */
+/* Used as key without a key file (one VM on loopback). */
 #define PLACEHOLDER_KEY "sassafrassill without a key file"
 
+/* A load report that this node received from the backend server itself. */
 struct own_report {
     struct sas_load_report report;
     int64_t received_at; /* 0: never */
@@ -24,7 +24,7 @@
     struct sas_peer_handler handler; /* first: the peer task's vtable */
     struct sas_peer_sync_options options;
     struct sas_peer *peer;
-    struct own_report *loads; /* by backend server, heard by this node */
+    struct own_report *loads; /* by backend server */
     struct sas_rpc_load *gossip_loads;
     struct sas_rpc_share shares[SAS_RPC_MAX_SHARES];
     char *config_text;
@@ -53,7 +53,7 @@
                           struct sas_rpc_disown_list *rows);
 static void on_tick(uv_timer_t *timer);
 
-/* The key from its file, or NULL with an error. */
+/* The peer key, or NULL with an error. */
 static char *
 read_key(const char *path, struct sas_error *error)
 {
@@ -163,13 +163,13 @@
     memcpy(incarnation, load->report.incarnation, sizeof(incarnation));
     load->report = *report;
     if (report->incarnation[0] == '\0') {
-        /* Answers state the load without the incarnation. */
+        /* Load reports in answer headers carry no incarnation. */
         memcpy(load->report.incarnation, incarnation, sizeof(incarnation));
     }
     load->received_at = (int64_t)uv_now(sync->options.loop);
 }
 
-/* Telling. */
+/* Sending. */
 
 uint64_t
 SasPeerSync_HashIncarnation(const char *incarnation)
@@ -235,7 +235,7 @@
         SasConfig_Encode(current, &sync->options.settings->model);
     size_t size = strlen(sync->config_text);
     if (size > SAS_RPC_MAX_CONFIG) {
-        return -1; /* too large for a message: the store has it */
+        return -1; /* too large for a message; peers read it from the store */
     }
     config->number = (uint64_t)current->number;
     config->base = 0;
@@ -244,7 +244,7 @@
     return 0;
 }
 
-/* Taking. */
+/* Receiving. */
 
 static void
 apply_load(struct sas_peer_sync *sync, const struct sas_rpc_load *row)
@@ -258,7 +258,7 @@
     int64_t now = (int64_t)uv_now(sync->options.loop);
     if (own->received_at != 0 &&
         now - own->received_at <= (int64_t)row->age_ms) {
-        return; /* what this node heard itself is newer */
+        return; /* this node's own report is newer */
     }
     struct sas_load_report report = {
         .running = (int)MIN(row->running, 1000000u),
@@ -343,7 +343,9 @@
     SasLending_AnswerDisown(sync->options.lending, member_id, rows);
 }
 
-/* Views of the other entry VMs, and the task's own counters. */
+/* Passes the peers' states to the router and exports the peer task's counters.
+ * While this node is partitioned, ages tell nothing about the peers, and all
+ * count as live. */
 static void
 on_tick(uv_timer_t *timer)
 {
@@ -351,15 +353,15 @@
     const struct sas_membership *table = SasPeer_GetMembership(sync->peer);
     struct sas_metrics *metrics = sync->options.counters->metrics;
     int64_t now = SasPeer_GetNow();
-    bool cut_off = SasMembership_IsCutOff(table, now);
+    bool partitioned = SasMembership_IsCutOff(table, now);
     if (table->replaced_by != 0 && !sync->replaced) {
         sync->replaced = true;
         sync->options.listener->on_replaced(sync->options.listener);
     }
     for (int i = 0; i < table->count; i++) {
         enum sas_member_state state = SasMembership_GetState(table, i, now);
-        bool live = i == table->own || cut_off || state == SAS_MEMBER_LIVE ||
-                    state == SAS_MEMBER_LEAVING;
+        bool live = i == table->own || partitioned ||
+                    state == SAS_MEMBER_LIVE || state == SAS_MEMBER_LEAVING;
         SasRouter_ApplyPeer(sync->options.router, i, live,
                             state == SAS_MEMBER_LEAVING);
     }
--- a/packages/node/src/peer_sync.h
+++ b/packages/node/src/peer_sync.h
@@ -1,7 +1,7 @@
-/* peers - what this node tells other entry VMs and takes from them.
+/* peer_sync - the node's side of the gossip and calls between entry VMs.
  *
- * Glue between the peer task (sas/peer.h), which owns the sockets, and the
- * node's configuration, steering, budgets and quarantine.
+ * Connects the peer task (sas/peer.h), which owns the sockets, with the node's
+ * configuration, router, budgets and poison guard.
  */
 #ifndef SAS_PEER_SYNC_H
 #define SAS_PEER_SYNC_H
@@ -15,7 +15,7 @@
 
 /* Embedded as first member. */
 struct sas_peer_sync_listener {
-    /* Another process has this seat now; this one must end. */
+    /* Another process has taken over this entry VM; this one must end. */
     void (*on_replaced)(struct sas_peer_sync_listener *listener);
 };
 
@@ -38,19 +38,21 @@
                  struct sas_error *error);
 void SasPeerSync_Close(struct sas_peer_sync *sync);
 
-/* Something others should hear at once. */
+/* Gossip at once instead of with the next round: the configuration in force,
+ * the quarantine entries, or that this entry VM is leaving. */
 void SasPeerSync_NoteChange(struct sas_peer_sync *sync);
 void SasPeerSync_SendQuarantines(struct sas_peer_sync *sync);
 void SasPeerSync_SetLeaving(struct sas_peer_sync *sync);
 
-/* A load report heard from a backend server itself, for the gossip. */
+/* Records a load report received from a backend server, for the gossip. */
 void SasPeerSync_NoteLoad(struct sas_peer_sync *sync, int backend,
                           const struct sas_load_report *report);
 
-/* How a backend server's incarnation is told to peers; 0 for "". */
+/* Hash that stands for a backend server's incarnation in the gossip; 0 for ""
+ * (unknown). */
 uint64_t SasPeerSync_HashIncarnation(const char *incarnation);
 
-/* [{"vm":...,"version":...,"age_ms":...,"state":...}] for the status. */
+/* [{"vm":...,"version":...,"age_ms":...,"state":...}] for /v1/status. */
 json_t *SasPeerSync_Describe(const struct sas_peer_sync *sync);
 
 #endif
--- a/packages/node/src/platform_mode.c
+++ b/packages/node/src/platform_mode.c
@@ -17,21 +17,21 @@
     EXIT_USAGE = 2
 };
 
-/* A line for each request of an ordinary second on a small entry VM; at some
- * 15 us a line the log takes under 1% of its core share. */
+/* About a line for each request of a small entry VM; at some 15 us a line,
+ * logging takes under 1% of its core share. */
 #define LOG_LINES_PER_S 200
 
 #define TOKEN_VARIABLE "SASSAFRASSILL_OPERATOR_TOKEN"
 #define PEER_KEY_VARIABLE "SASSAFRASSILL_PEER_KEY"
 
-/* For tests of clocks that are wrong: milliseconds that this process's time of
- * day is ahead. */
+/* For tests of wrong clocks: milliseconds that this process's wall clock is
+ * ahead. */
 #define CLOCK_VARIABLE "SASSAFRASSILL_CLOCK_OFFSET_MS"
 
 struct platform_mode {
     const char *path;
     struct sas_entry_settings settings;
-    const char *token; /* operators'; NULL: none */
+    const char *token; /* operators' bearer token; NULL: none */
     uv_loop_t loop;
     struct sas_fleet *fleet;
     struct sas_steering *steering;
@@ -39,7 +39,7 @@
     struct sas_gateway *gateway;
     struct sas_store *store;
     struct sas_sheet_task *sheet_task;
-    uv_timer_t deadline_timer; /* of what is waited for at the end */
+    uv_timer_t deadline_timer; /* of the wait for admin calls */
 };
 
 static void
@@ -52,7 +52,7 @@
         SasLog_WriteError(SasLog_ERROR, &error);
         return;
     }
-    /* Addresses and places are fixed for a process. */
+    /* Addresses and places can't change while the process runs. */
     mode->settings.bounds = settings.bounds;
     SasLog_Write(SasLog_INFO, "settings.apply", mode->path,
                  "drain_ms=%" G_GINT64_FORMAT " grace_ms=%" G_GINT64_FORMAT,
@@ -165,10 +165,11 @@
 static void
 on_deadline(uv_timer_t *timer)
 {
-    (void)timer; /* it only ends a turn of the loop */
+    (void)timer; /* only ends the turn of the loop */
 }
 
-/* Callers have had their answers; an operator may still wait for one. */
+/* Callers have their answers; waits for the operators' calls that the store
+ * has not answered. */
 static void
 await_admin_calls(struct platform_mode *mode)
 {
@@ -218,8 +219,8 @@
 int
 SasPlatformMode_Run(const char *settings_path, bool check)
 {
-    /* Not on the stack: with an operator's connection open at the end the HTTP
-     * library keeps handles, and the loop its memory, until the exit. */
+    /* Not on the stack: with an admin connection open at the end, h2o's
+     * handles and the loop's memory stay in use until the process exits. */
     static struct platform_mode mode;
     mode.path = settings_path;
     struct sas_error error = {0};
--- a/packages/node/src/sheet_task.c
+++ b/packages/node/src/sheet_task.c
@@ -12,12 +12,12 @@
 
 #define TICK_MS 1000
 
-/* Looks into the store, of one entry VM for all: the only way in which a
- * sheet becomes known whose taker died at once. A third of the 15 s in which
- * a change has to be in force everywhere. */
+/* Interval at which one entry VM polls the store for all. It alone finds a
+ * sheet whose accepting VM died before gossiping it. A third of the 15 s
+ * within which a change must be in force everywhere. */
 #define POLL_INTERVAL_MS 5000
 
-/* A name for the place in the order of entry VMs whose first one looks. */
+/* Key of the rendezvous ranking of entry VMs, whose first one polls. */
 #define POLLER_HASH 0x5348454554ULL
 
 struct sas_sheet_task {
@@ -25,7 +25,7 @@
     struct sas_admin_view view;
     struct sas_sheet_task_options options;
     struct sas_config_store *config_store;
-    struct sas_admin *admin; /* NULL: no port is set for it */
+    struct sas_admin *admin; /* NULL without an admin port */
     GRand *random;
     uv_timer_t timer;
     int64_t polled_at;
@@ -51,8 +51,8 @@
 
 /* Versions. */
 
-/* Handles of servers may change only while nothing but the version in force
- * holds any. */
+/* Brings the model up to date with the fleet. Servers are removed, which frees
+ * their handles, only while nothing but the version in force holds handles. */
 static void
 refresh_model(struct sas_sheet_task *task)
 {
@@ -117,7 +117,7 @@
 {
     struct sas_sheet_task *task = TASK_OF(listener, listener);
     if (config == NULL) {
-        return; /* the store has none */
+        return; /* the store has no version */
     }
     SasSteering_TakeConfig(task->options.steering, config);
     SasMesh_NoteSheet(SasGateway_GetMesh(task->options.gateway),
@@ -150,7 +150,7 @@
     }
 }
 
-/* What operators see. */
+/* Status for operators. */
 
 static bool
 is_ready(struct sas_admin_view *view)
--- a/packages/node/src/sheet_task.h
+++ b/packages/node/src/sheet_task.h
@@ -1,12 +1,10 @@
-/* live_sheet - the task that owns the operators' sheet on an entry VM whose
- * model is learned at run time.
+/* sheet_task - the operators' sheet in platform mode.
  *
- * Versions are kept by configure in the store, as in the other mode; the
- * admin port takes them. Which version there is goes by the gossip of the
- * entry VMs, and whoever hears of a newer one reads it; the first of all
- * entry VMs also looks into the store now and then, in case the one that took
- * a sheet died before it could tell. What the sheet orders is put in force
- * through sas/steering.h.
+ * The admin port accepts sheets, and config_store keeps their versions in the
+ * store as in standalone mode. The gossip carries the newest version number,
+ * and an entry VM that receives a higher one reads it. One entry VM also polls
+ * the store for all, in case the one that accepted a sheet died before it
+ * gossiped the version. sas/steering.h puts the sheet's orders in force.
  */
 #ifndef SAS_SHEET_TASK_H
 #define SAS_SHEET_TASK_H
@@ -26,19 +24,19 @@
     struct sas_gateway *gateway;
     struct sas_steering *steering;
     struct sas_store *store;
-    size_t max_object; /* bytes that the store takes */
+    size_t max_object; /* bytes that the store accepts */
     const struct sas_entry_settings *settings;
-    const char *token; /* operators'; NULL: the admin port changes nothing */
+    const char *token; /* operators'; NULL: the admin port is read-only */
 };
 
-/* Opening and closing; the parts stay the caller's and outlive it. Close
- * needs one more turn of the loop. */
+/* The objects in the options must outlive the task. Close needs one more turn
+ * of the loop. */
 struct sas_sheet_task *
 SasSheetTask_Open(const struct sas_sheet_task_options *options,
                   struct sas_error *error);
 void SasSheetTask_Close(struct sas_sheet_task *task);
 
-/* Takes no call of operators any more; how many wait for the store. */
+/* Stops accepting operators' calls; returns how many wait for the store. */
 int SasSheetTask_End(struct sas_sheet_task *task);
 
 #endif
