--- a/packages/node/src/admin.h
+++ b/packages/node/src/admin.h
@@ -12,7 +12,7 @@
 
 struct sas_admin;
 
-/* Embedded as first member. */
+/* Embedded in the owner's struct. */
 struct sas_admin_view {
     bool (*is_ready)(struct sas_admin_view *view);
     int64_t (*get_version)(struct sas_admin_view *view);
--- a/packages/node/src/claims.h
+++ b/packages/node/src/claims.h
@@ -34,7 +34,7 @@
     void (*on_finished)(struct sas_claims_listener *listener);
 };
 
-/* Embedded as first member. */
+/* Embedded in the owner's struct. */
 struct sas_claims_listener {
     const struct sas_claims_vtable *vtable;
 };
--- a/packages/node/src/config_store.h
+++ b/packages/node/src/config_store.h
@@ -22,7 +22,7 @@
 
 struct sas_config_store;
 
-/* Embedded as first member. */
+/* Embedded in the owner's struct. */
 struct sas_config_store_listener {
     /* A version was adopted; NULL: the store has none. */
     void (*on_config)(struct sas_config_store_listener *listener,
@@ -65,7 +65,7 @@
     struct sas_sheet_error sheet_error;
 };
 
-/* Receives the answer to a put; embedded as first member. */
+/* Receives the answer to a put; embedded in the owner's struct. */
 struct sas_put_listener {
     void (*on_answer)(struct sas_put_listener *listener,
                       const struct sas_put_answer *answer);
--- a/packages/node/src/forward.c
+++ b/packages/node/src/forward.c
@@ -127,7 +127,7 @@
 
 /* True when the request may run; else it was refused. */
 static bool
-check_poison(struct sas_forward_call *call)
+pass_poison_check(struct sas_forward_call *call)
 {
     int retry_after_s = 0;
     enum sas_quarantine_verdict decision =
@@ -157,7 +157,7 @@
                               SAS_OUTCOME_NOT_RUN, 0);
         return;
     }
-    if (!check_poison(call)) {
+    if (!pass_poison_check(call)) {
         return;
     }
     if (!call->at_most_once) {
--- a/packages/node/src/forward.h
+++ b/packages/node/src/forward.h
@@ -51,11 +51,11 @@
     void (*on_body)(struct sas_forward_reply *reply, const char *data,
                     size_t size);
     void (*on_end)(struct sas_forward_reply *reply);
-    /* The answer broke off after its head was passed on. */
+    /* The answer ended early, after its head was passed on. */
     void (*on_abort)(struct sas_forward_reply *reply);
 };
 
-/* Embedded as first member. */
+/* Embedded in the owner's struct. */
 struct sas_forward_reply {
     const struct sas_forward_reply_vtable *vtable;
 };
@@ -82,8 +82,8 @@
                  const struct sas_forward_request *request,
                  struct sas_forward_reply *reply);
 
-/* The caller has disconnected. A request that runs at most once continues, so
- * that its outcome can be stored. */
+/* The caller has disconnected. A request that may run only once continues once
+ * it was sent, so that its outcome can be stored. */
 void SasForward_Cancel(struct sas_forward_call *call);
 
 /* Backpressure: stop and restart reading the answer. */
--- a/packages/node/src/lending.h
+++ b/packages/node/src/lending.h
@@ -5,9 +5,9 @@
  * budget for each service's slots in a region, each link's Mbit/s and each
  * capped shift of the sheet.
  *
- * Times are SasPeer_GetNow, read at each use. The loop's cached time stands
- * still while the process is paused, so that a loan that expired meanwhile
- * would still be used.
+ * Times are SasPeer_GetNow, read at each use: with the loop's cached time,
+ * which stands still while the process is paused, a loan that expired
+ * meanwhile would still be used.
  */
 #ifndef SAS_LENDING_H
 #define SAS_LENDING_H
@@ -24,7 +24,7 @@
 
 struct sas_lending;
 
-/* Called when units may have come free; embedded as first member. */
+/* Called when units may have come free; embedded in the owner's struct. */
 struct sas_lending_listener {
     void (*on_units)(struct sas_lending_listener *listener);
 };
@@ -96,7 +96,8 @@
 void SasLending_AnswerDisown(struct sas_lending *lending, int member_id,
                              struct sas_rpc_disown_list *rows);
 
-/* [{"name":...,"floor":...,"lent":...,"borrowed":...,"used":...}] */
+/* [{"name":...,"floor":...,"lent":...,"borrowed":...,"used":...,
+ *   "allowance":...,"recovering":...}] */
 json_t *SasLending_Describe(struct sas_lending *lending);
 
 #endif
--- a/packages/node/src/peer_sync.h
+++ b/packages/node/src/peer_sync.h
@@ -13,7 +13,7 @@
 
 struct sas_peer_sync;
 
-/* Embedded as first member. */
+/* Embedded in the owner's struct. */
 struct sas_peer_sync_listener {
     /* Another process has taken over this entry VM; this one must end. */
     void (*on_replaced)(struct sas_peer_sync_listener *listener);
--- a/packages/node/src/poison_guard.h
+++ b/packages/node/src/poison_guard.h
@@ -20,7 +20,7 @@
 
 struct sas_poison_guard;
 
-/* Embedded as first member. */
+/* Embedded in the owner's struct. */
 struct sas_poison_guard_listener {
     /* Entries changed; they are to be sent to the peers at once. */
     void (*on_change)(struct sas_poison_guard_listener *listener);
--- a/packages/node/src/router.h
+++ b/packages/node/src/router.h
@@ -59,7 +59,7 @@
 
 struct sas_router;
 
-/* Called when capacity may have come free; embedded as first member. */
+/* Called when capacity may have come free; embedded in the owner's struct. */
 struct sas_router_listener {
     void (*on_capacity)(struct sas_router_listener *listener);
 };
--- a/packages/node/src/upstream.h
+++ b/packages/node/src/upstream.h
@@ -32,7 +32,7 @@
     void (*on_stall)(struct sas_upstream_call *call, bool unknown_to_server);
 };
 
-/* Embedded as first member. */
+/* Embedded in the owner's struct. */
 struct sas_upstream_call {
     struct sas_http_user user;
     const struct sas_upstream_vtable *vtable;
@@ -55,7 +55,7 @@
     int64_t asked_at; /* start of the probe; 0: from an answer's header */
 };
 
-/* Receives load and health updates; embedded as first member. */
+/* Receives load and health updates; embedded in the owner's struct. */
 struct sas_upstream_listener {
     void (*on_load)(struct sas_upstream_listener *listener, int backend,
                     const struct sas_load_report *report);
