--- a/packages/node/src/upstream.c
+++ b/packages/node/src/upstream.c
@@ -10,18 +10,17 @@
 #include "sas/metrics.h"
 
 struct backend_state {
-    struct sas_http_owner owner; /* first: told of closed connections */
+    struct sas_http_owner owner; /* first: on_closed */
     struct sas_upstream *upstream;
     int backend;
-    GQueue idle; /* of struct sas_http_conn, the latest used first */
+    GQueue idle; /* of struct sas_http_conn, most recently used first */
     int open_connections;
     GList *calls;        /* of struct sas_upstream_call */
-    struct probe *probe; /* the one in progress, or NULL */
-    int last_reported;   /* running and queued, as last stated */
+    struct probe *probe; /* in progress, or NULL */
+    int last_reported;   /* requests running and queued there */
     int64_t last_report_at;
-    int64_t no_reuse_until;     /* it sent bytes that nobody asked for */
-    int64_t last_new_answer_at; /* a connection opened at or after this
-                                   moment has answered */
+    int64_t reuse_disabled_until;
+    int64_t newest_answered_opened_at; /* newest connection with an answer */
 };
 
 struct sas_upstream {
@@ -116,16 +115,16 @@
 void
 SasUpstream_Send(struct sas_upstream *upstream, int backend,
                  const struct sas_http_request *request, int64_t timeout_ms,
-                 bool fresh, const struct sas_upstream_vtable *vtable,
+                 bool new_connection, const struct sas_upstream_vtable *vtable,
                  struct sas_upstream_call *call)
 {
     struct backend_state *state = &upstream->states[backend];
     int64_t now = (int64_t)uv_now(upstream->loop);
-    /* A kept connection may have gone silent a moment after it was last heard
-     * from, without either end being told. What may not repeat can't be tried
-     * again, so it goes over a new one, which costs one round trip. */
+    /* An idle connection may have stalled since it was last used, unnoticed by
+     * both ends. A request that must not be retried pays a round trip for a
+     * new one. */
     struct sas_http_conn *conn = NULL;
-    if (!fresh && now >= state->no_reuse_until) {
+    if (!new_connection && now >= state->reuse_disabled_until) {
         conn = g_queue_pop_head(&state->idle);
     }
     call->user.vtable = &call_vtable;
@@ -169,8 +168,8 @@
     SasHttp_Resume(call->conn);
 }
 
-/* The share of a backend server's connections that this entry VM may keep
- * open without using them. */
+/* Whether one more connection may stay idle: at most half of this entry VM's
+ * share of the backend server's connections, at least one. */
 static bool
 may_keep(const struct sas_upstream *upstream, int backend)
 {
@@ -178,15 +177,15 @@
     int share = upstream->model->backends[backend].connections /
                 upstream->model->vm_count;
     return !upstream->closing && (int)state->idle.length < MAX(share / 2, 1) &&
-           (int64_t)uv_now(upstream->loop) >= state->no_reuse_until;
+           (int64_t)uv_now(upstream->loop) >= state->reuse_disabled_until;
 }
 
 /* Calls. */
 
-/* Keeps a report for check_call() and passes it on. */
+/* Records a report for check_call() and passes it on. */
 static void
-take_report(struct sas_upstream *upstream, int backend,
-            const struct sas_load_report *report)
+apply_report(struct sas_upstream *upstream, int backend,
+             const struct sas_load_report *report)
 {
     struct backend_state *state = &upstream->states[backend];
     state->last_reported = report->running + report->queued;
@@ -195,50 +194,50 @@
 }
 
 static int
-find_number(const char *text, const char *name, int otherwise)
+parse_number(const char *text, const char *name, int fallback)
 {
     const char *at = strstr(text, name);
-    return at != NULL ? atoi(at + strlen(name)) : otherwise;
+    return at != NULL ? atoi(at + strlen(name)) : fallback;
 }
 
 static void
-take_load_header(struct sas_upstream *upstream, int backend,
-                 const struct sas_http_header *headers, int header_count)
+apply_load_header(struct sas_upstream *upstream, int backend,
+                  const struct sas_http_header *headers, int header_count)
 {
     const char *value = SasHttp_FindHeader(headers, header_count, "sas-load");
     if (value == NULL) {
         return;
     }
     struct sas_load_report report = {
-        .running = find_number(value, "running=", 0),
-        .queued = find_number(value, "queued=", 0),
-        .slots = find_number(value, "slots=", 0),
-        .leaving = find_number(value, "leaving=", 0) != 0,
+        .running = parse_number(value, "running=", 0),
+        .queued = parse_number(value, "queued=", 0),
+        .slots = parse_number(value, "slots=", 0),
+        .leaving = parse_number(value, "leaving=", 0) != 0,
     };
-    take_report(upstream, backend, &report);
+    apply_report(upstream, backend, &report);
 }
 
-/* A connection opened at this moment has just answered. */
+/* Records an answer on a connection opened at opened_at. */
 static void
 note_answer(struct sas_upstream *upstream, int backend, int64_t opened_at)
 {
     struct backend_state *state = &upstream->states[backend];
-    if (opened_at > state->last_new_answer_at) {
-        state->last_new_answer_at = opened_at;
+    if (opened_at > state->newest_answered_opened_at) {
+        state->newest_answered_opened_at = opened_at;
     }
     upstream->listener->on_health(upstream->listener, backend, true);
 }
 
-/* A backend server answers late, or twice: the bytes arrive when the
- * connection already carries another caller's request, and would be read as
- * its answer. They show themselves by the id that such servers repeat, or by
- * coming while nothing was asked; from then on that server gets a new
- * connection for each request, on which nothing old can arrive. */
+/* Stops reusing connections to a backend server that answered late or twice:
+ * on a reused connection those bytes would be read as the answer to another
+ * caller's request. They are detected by a Sas-Request-Id of another request,
+ * or by arriving while no request is in progress. For SasUpstream_NO_REUSE_MS
+ * each request gets a new connection, on which no old bytes can arrive. */
 static void
-distrust_reuse(struct sas_upstream *upstream, int backend)
+disable_reuse(struct sas_upstream *upstream, int backend)
 {
     struct backend_state *state = &upstream->states[backend];
-    state->no_reuse_until =
+    state->reuse_disabled_until =
         (int64_t)uv_now(upstream->loop) + SasUpstream_NO_REUSE_MS;
     while (!g_queue_is_empty(&state->idle)) {
         SasHttp_Close(g_queue_peek_head(&state->idle));
@@ -246,8 +245,8 @@
 }
 
 static bool
-is_other_answer(const struct sas_upstream_call *call,
-                const struct sas_http_header *headers, int header_count)
+is_mismatched_answer(const struct sas_upstream_call *call,
+                     const struct sas_http_header *headers, int header_count)
 {
     const char *id =
         SasHttp_FindHeader(headers, header_count, "sas-request-id");
@@ -255,16 +254,16 @@
 }
 
 static void
-fail_other_answer(struct sas_upstream_call *call)
+fail_mismatched_answer(struct sas_upstream_call *call)
 {
     struct sas_http_failure failure = {.sent = true, .written = true};
     SasError_Set(&failure.error, SAS_EIO, "upstream.answer",
                  call->upstream->model->backends[call->backend].name,
-                 "the answer of another request");
+                 "the answer belongs to another request");
     SasLog_WriteError(SasLog_WARN, &failure.error);
     remove_call(call);
     SasHttp_Close(call->conn);
-    distrust_reuse(call->upstream, call->backend);
+    disable_reuse(call->upstream, call->backend);
     call->vtable->on_fail(call, &failure);
 }
 
@@ -273,14 +272,14 @@
              const struct sas_http_header *headers, int header_count)
 {
     struct sas_upstream_call *call = (struct sas_upstream_call *)user;
-    if (is_other_answer(call, headers, header_count)) {
-        fail_other_answer(call);
+    if (is_mismatched_answer(call, headers, header_count)) {
+        fail_mismatched_answer(call);
         return;
     }
     call->head_seen = true;
     note_answer(call->upstream, call->backend,
                 SasHttp_GetOpenedAt(call->conn));
-    take_load_header(call->upstream, call->backend, headers, header_count);
+    apply_load_header(call->upstream, call->backend, headers, header_count);
     call->vtable->on_head(call, status, headers, header_count);
 }
 
@@ -305,7 +304,7 @@
     }
     else {
         SasMetrics_Add(upstream->counters->metrics,
-                       upstream->counters->late_bytes, 1);
+                       upstream->counters->connections_ended, 1);
     }
     call->vtable->on_end(call, whole);
 }
@@ -341,7 +340,7 @@
         SasLog_Write(SasLog_WARN, "upstream.read",
                      state->upstream->model->backends[state->backend].name,
                      "bytes that belong to no request");
-        distrust_reuse(state->upstream, state->backend);
+        disable_reuse(state->upstream, state->backend);
     }
 }
 
@@ -374,7 +373,7 @@
 }
 
 static void
-take_probe_answer(struct probe *probe)
+apply_probe_answer(struct probe *probe)
 {
     json_t *object = json_loadb(probe->body->str, probe->body->len, 0, NULL);
     if (!json_is_object(object)) {
@@ -393,7 +392,7 @@
     snprintf(report.incarnation, sizeof(report.incarnation), "%s",
              incarnation != NULL ? incarnation : "");
     json_decref(object);
-    take_report(probe->upstream, probe->backend, &report);
+    apply_report(probe->upstream, probe->backend, &report);
 }
 
 static void
@@ -417,7 +416,7 @@
     }
     if (whole) {
         note_answer(upstream, probe->backend, probe->opened_at);
-        take_probe_answer(probe);
+        apply_probe_answer(probe);
     }
     end_probe(probe);
 }
@@ -440,8 +439,8 @@
     .on_fail = probe_on_fail,
 };
 
-/* A probe always opens a connection of its own: it is also the proof that
- * new connections work while a kept one is silent. */
+/* A probe always opens a connection of its own: its answer also shows that new
+ * connections work while a reused one is stalled. */
 void
 SasUpstream_Probe(struct sas_upstream *upstream, int backend)
 {
@@ -462,12 +461,12 @@
                  &probe->user);
 }
 
-/* Silent connections. */
+/* Stalled connections. */
 
-/* Closes the idle connections that are as old as a silent one. */
+/* Closes the idle connections that are as old as a stalled one, or older. */
 static void
-condemn_idle(struct sas_upstream *upstream, struct backend_state *state,
-             int64_t opened_at)
+close_stale_idle(struct sas_upstream *upstream, struct backend_state *state,
+                 int64_t opened_at)
 {
     GList *link = state->idle.head;
     while (link != NULL) {
@@ -475,17 +474,18 @@
         link = link->next;
         if (SasHttp_GetOpenedAt(conn) <= opened_at) {
             SasMetrics_Add(upstream->counters->metrics,
-                           upstream->counters->condemned, 1);
-            SasHttp_Close(conn); /* leaves the idle list by on_closed */
+                           upstream->counters->closed_stale, 1);
+            SasHttp_Close(conn); /* on_conn_closed() unlinks it */
         }
     }
 }
 
-/* A device between us and a backend server may drop what it knows of old
- * connections: writes vanish, nothing is ever read, no error comes. It shows
- * as a kept connection without any answer while one opened later answers.
- * So a call that waits long on a kept connection asks for a probe over a
- * new one; once that has answered, the old connections are given up. */
+/* A device on the way to a backend server may drop its state of old
+ * connections: writes vanish, nothing is read, no error comes. A call that
+ * waits SasUpstream_STALL_MS on a reused connection starts a probe over a new
+ * one. Once that has answered, the call counts as stalled, and if the server
+ * does not count the request either, the idle connections of that age are
+ * closed. */
 static void
 check_call(struct sas_upstream *upstream, struct backend_state *state,
            struct sas_upstream_call *call, int64_t now)
@@ -495,19 +495,21 @@
         return;
     }
     int64_t opened_at = SasHttp_GetOpenedAt(call->conn);
-    bool newer_answered = state->last_new_answer_at >= call->started_at &&
-                          state->last_report_at >= call->started_at;
+    bool newer_answered =
+        state->newest_answered_opened_at >= call->started_at &&
+        state->last_report_at >= call->started_at;
     if (!newer_answered) {
         SasUpstream_Probe(upstream, call->backend);
         return;
     }
-    /* A long request looks the same from here, but the backend server then
-     * counts it among those that it runs or has queued. */
-    bool missing = state->last_reported < (int)g_list_length(state->calls);
-    if (missing) {
-        condemn_idle(upstream, state, opened_at);
+    /* A long request looks the same, but the backend server reports it as
+     * running or queued. */
+    bool unknown_to_server =
+        state->last_reported < (int)g_list_length(state->calls);
+    if (unknown_to_server) {
+        close_stale_idle(upstream, state, opened_at);
     }
-    call->vtable->on_stall(call, missing);
+    call->vtable->on_stall(call, unknown_to_server);
 }
 
 static void
