--- a/packages/core/include/sas/exchange.h
+++ b/packages/core/include/sas/exchange.h
@@ -1,10 +1,10 @@
-/* exchange - questions to other entry VMs that wait for a reply.
+/* exchange - pings to other entry VMs that wait for an answer.
  *
- * A datagram may be lost, so a question is sent SasExchange_TRIES times before
- * its silence counts. sas/membership.h says what silence means: two in a row
- * raise a doubt. With SasExchange_REPLY_MS that is 1.8 s after the first
- * question; on links that lose a tenth of the packets, six exchanges lost in a
- * row are 5 in 100,000.
+ * Datagrams get lost, so a ping is sent SasExchange_TRIES times before it
+ * counts as timed out. Two timeouts in a row make a member suspected
+ * (sas/membership.h): with SasExchange_REPLY_MS that is 1.8 s after the first
+ * ping. On links that lose 10% of the packets, six pings in a row stay without
+ * an answer in 5 of 100,000 cases.
  *
  * Times are milliseconds of one monotonic clock.
  */
@@ -14,11 +14,11 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-/* The way there and back takes 40 ms between regions; a VM whose share of the
- * processor is used up stands for a tenth of a second. */
+/* The round trip between regions takes 40 ms; a VM that has used up its CPU
+ * quota stalls for 100 ms. */
 #define SasExchange_REPLY_MS 300
 #define SasExchange_TRIES 3
-#define SasExchange_MAX 16 /* at the same time; further ones are forgotten */
+#define SasExchange_MAX 16 /* pending pings; further ones aren't tracked */
 
 struct sas_exchange {
     int seat;
@@ -33,16 +33,16 @@
 
 void SasExchange_Init(struct sas_exchanges *exchanges);
 
-/* The first question has been sent to the seat; nothing where one waits. */
-void SasExchange_Begin(struct sas_exchanges *exchanges, int seat,
+/* A ping was sent to the member. No effect while an earlier one is pending. */
+void SasExchange_Begin(struct sas_exchanges *exchanges, int member_id,
                        int64_t now_ms);
 
-/* Something came from the seat. */
-void SasExchange_End(struct sas_exchanges *exchanges, int seat);
+/* A message arrived from the member: its ping is answered. */
+void SasExchange_End(struct sas_exchanges *exchanges, int member_id);
 
-/* What is due, one after the other; false: nothing. With silent the seat has
- * not replied to any of the tries and waits no more, else the question is to
- * be sent once more. */
+/* Gives the next ping without an answer for SasExchange_REPLY_MS; false if
+ * there is none. Call it until it returns false. silent: no send was answered,
+ * the ping has timed out and is removed. Otherwise send it once more. */
 struct sas_exchange_due {
     int seat;
     bool silent;
--- a/packages/core/include/sas/stop.h
+++ b/packages/core/include/sas/stop.h
@@ -1,14 +1,15 @@
-/* stop - what a process that is to end still takes, and when it ends.
+/* stop - the schedule of a graceful shutdown.
  *
- * From the order to stop, a process has a fixed time, its grace. It takes
- * requests for the first part of it, whatever their time limit, for callers
- * still hold older look-ups. Later it takes only what its own limit ends
- * before the last answers are due: everything else would be cut off, and is
- * better refused at once, so that its caller goes elsewhere.
+ * From the order to stop, a process has a fixed time until it is killed, the
+ * grace period. In its first part the process accepts all requests, since
+ * callers still hold lookup answers that name it. Later it accepts only
+ * requests that reach their own limit before the shutdown deadline; others
+ * would be cut off, and are refused at once, so that their callers use another
+ * entry VM.
  *
- * The process ends when nobody has a connection any more, or a while later
- * when nothing is owed to anybody, at the latest at the end of the plan. Its
- * last moments lie in the last sixth of the grace, before the kill.
+ * The process ends when no caller is connected, or a while later when no
+ * answer is pending, at the latest at end_at. All deadlines lie in the last
+ * sixth of the grace period.
  *
  * Times are milliseconds of one monotonic clock.
  */
@@ -19,31 +20,31 @@
 #include <stdint.h>
 
 struct sas_stop_plan {
-    int64_t began_at;   /* the order to stop; 0: there is none */
-    int64_t notice_at;  /* requests of any limit are taken until then */
-    int64_t answers_at; /* what has no answer by then is given up */
-    int64_t end_at;     /* callers' connections end, whatever is left */
-    int64_t changes_at; /* operators' calls that the store has still: too */
+    int64_t began_at;     /* the order to stop; 0: there is none */
+    int64_t accept_until; /* requests with any limit are accepted until then */
+    int64_t deadline_at;  /* shutdown deadline: pending requests fail */
+    int64_t end_at;       /* all connections of callers are closed */
+    int64_t changes_at;   /* operators' calls that wait for the store end */
 };
 
-/* What is left, by the callers' connections. */
+/* Connections of callers. */
 struct sas_stop_left {
     int connections;
-    int busy; /* of them, those on which something is owed */
+    int busy; /* of these, the ones with a pending answer */
 };
 
 /* grace_ms: from the order to stop to the kill. */
 struct sas_stop_plan SasStop_Plan(int64_t now_ms, int64_t grace_ms);
 
-/* Whether a request that reaches its own limit at limit_at is taken; true
+/* Whether to accept a request that reaches its own limit at limit_at; true
  * while there is no order to stop. */
 bool SasStop_MayTake(const struct sas_stop_plan *plan, int64_t now_ms,
                      int64_t limit_at);
 
-/* Whether what has no answer is given up now. */
+/* Whether the shutdown deadline is over, so that pending requests fail. */
 bool SasStop_IsGivenUp(const struct sas_stop_plan *plan, int64_t now_ms);
 
-/* Whether the process may end; it has to at its limit. */
+/* Whether the process may end, and whether it has to (end_at). */
 bool SasStop_IsOver(const struct sas_stop_plan *plan, int64_t now_ms,
                     const struct sas_stop_left *left);
 bool SasStop_IsAtLimit(const struct sas_stop_plan *plan, int64_t now_ms);
--- a/packages/core/include/sas/window.h
+++ b/packages/core/include/sas/window.h
@@ -1,15 +1,16 @@
-/* window - how many events fell into the last so many milliseconds.
+/* window - counts the events of a sliding time window.
  *
- * The span slides in steps of a bucket; a count covers the whole span and up
- * to one bucket more, so a limit held against it also holds in any window of
- * that length. Times are monotonic milliseconds.
+ * The window moves in steps of one bucket. A count covers the whole span and
+ * up to one bucket more, so a limit on the count also holds in every interval
+ * of that length. Times are monotonic milliseconds.
  */
 #ifndef SAS_WINDOW_H
 #define SAS_WINDOW_H
 
 #include <stdint.h>
 
-#define SasWindow_BUCKETS 20 /* the count errs by at most 1/20 of the span */
+#define SasWindow_BUCKETS 20 /* a count covers up to 1/20 more than the span  \
+                              */
 
 struct sas_window {
     int64_t bucket_ms;
@@ -18,6 +19,8 @@
 };
 
 void SasWindow_Init(struct sas_window *window, int64_t span_ms);
+
+/* Adds n events, and returns the number of events in the window. */
 void SasWindow_Add(struct sas_window *window, double n, int64_t now_ms);
 double SasWindow_Count(struct sas_window *window, int64_t now_ms);
 
--- a/packages/core/src/exchange.c
+++ b/packages/core/src/exchange.c
@@ -9,10 +9,10 @@
 }
 
 static int
-find(const struct sas_exchanges *exchanges, int seat)
+find(const struct sas_exchanges *exchanges, int member_id)
 {
     for (int i = 0; i < exchanges->count; i++) {
-        if (exchanges->rows[i].seat == seat) {
+        if (exchanges->rows[i].seat == member_id) {
             return i;
         }
     }
@@ -27,22 +27,24 @@
 }
 
 void
-SasExchange_Begin(struct sas_exchanges *exchanges, int seat, int64_t now_ms)
+SasExchange_Begin(struct sas_exchanges *exchanges, int member_id,
+                  int64_t now_ms)
 {
-    if (find(exchanges, seat) >= 0 || exchanges->count == SasExchange_MAX) {
+    if (find(exchanges, member_id) >= 0 ||
+        exchanges->count == SasExchange_MAX) {
         return;
     }
     exchanges->rows[exchanges->count++] = (struct sas_exchange){
-        .seat = seat,
+        .seat = member_id,
         .tries = 1,
         .sent_at = now_ms,
     };
 }
 
 void
-SasExchange_End(struct sas_exchanges *exchanges, int seat)
+SasExchange_End(struct sas_exchanges *exchanges, int member_id)
 {
-    int i = find(exchanges, seat);
+    int i = find(exchanges, member_id);
     if (i >= 0) {
         drop(exchanges, i);
     }
--- a/packages/core/src/lag.c
+++ b/packages/core/src/lag.c
@@ -5,19 +5,20 @@
 
 #include <glib.h>
 
-/* Parts of the bound. The usual way takes up to 350 ms, more where another
- * entry VM passes it on. */
-#define ASK_PART 0.25
-#define UNSURE_PART 0.4
+/* Fractions of the bound. A change usually arrives within 350 ms, later where
+ * another entry VM passes it on. */
+#define POLL_FRACTION 0.25
+#define STALE_FRACTION 0.4
 
+/* Once the expected change is applied, expects the newest one reported. */
 static void
-settle(struct sas_lag *lag)
+update_expected(struct sas_lag *lag)
 {
     if (lag->known < lag->expected) {
         return;
     }
-    bool more = lag->latest > lag->known;
-    lag->expected = more ? lag->latest : 0;
+    bool has_newer = lag->latest > lag->known;
+    lag->expected = has_newer ? lag->latest : 0;
     lag->since_ms = lag->latest_ms;
 }
 
@@ -36,14 +37,14 @@
     }
     lag->latest = version;
     lag->latest_ms = now_ms;
-    settle(lag);
+    update_expected(lag);
 }
 
 void
 SasLag_NoteKnown(struct sas_lag *lag, int64_t version)
 {
     lag->known = MAX(lag->known, version);
-    settle(lag);
+    update_expected(lag);
 }
 
 void
@@ -57,10 +58,10 @@
 static int64_t
 get_limit(const struct sas_lag *lag, enum sas_lag_state state)
 {
-    double part = state == SAS_LAG_UNSURE ? UNSURE_PART
-                  : state == SAS_LAG_ASK  ? ASK_PART
-                                          : 0;
-    return (int64_t)(part * (double)lag->bound_ms);
+    double fraction = state == SAS_LAG_UNSURE ? STALE_FRACTION
+                      : state == SAS_LAG_ASK  ? POLL_FRACTION
+                                              : 0;
+    return (int64_t)(fraction * (double)lag->bound_ms);
 }
 
 enum sas_lag_state
--- a/packages/core/src/window.c
+++ b/packages/core/src/window.c
@@ -4,7 +4,7 @@
 
 #include <glib.h>
 
-#define SLOTS (SasWindow_BUCKETS + 1)
+#define STORED_BUCKETS (SasWindow_BUCKETS + 1)
 
 void
 SasWindow_Init(struct sas_window *window, int64_t span_ms)
@@ -13,17 +13,18 @@
     window->bucket_ms = MAX(span_ms / SasWindow_BUCKETS, 1);
 }
 
+/* Clears the buckets between the newest one and that of now_ms. */
 static void
 advance(struct sas_window *window, int64_t now_ms)
 {
     int64_t bucket = now_ms / window->bucket_ms;
-    if (bucket - window->newest >= SLOTS) {
+    if (bucket - window->newest >= STORED_BUCKETS) {
         memset(window->counts, 0, sizeof(window->counts));
         window->newest = bucket;
     }
     while (window->newest < bucket) {
         window->newest++;
-        window->counts[window->newest % SLOTS] = 0;
+        window->counts[window->newest % STORED_BUCKETS] = 0;
     }
 }
 
@@ -31,7 +32,7 @@
 SasWindow_Add(struct sas_window *window, double n, int64_t now_ms)
 {
     advance(window, now_ms);
-    window->counts[window->newest % SLOTS] += n;
+    window->counts[window->newest % STORED_BUCKETS] += n;
 }
 
 double
@@ -39,7 +40,7 @@
 {
     advance(window, now_ms);
     double sum = 0;
-    for (int i = 0; i < SLOTS; i++) {
+    for (int i = 0; i < STORED_BUCKETS; i++) {
         sum += window->counts[i];
     }
     return sum;
--- a/packages/core/tests/test_exchange.c
+++ b/packages/core/tests/test_exchange.c
@@ -6,7 +6,7 @@
 #include "sas/exchange.h"
 
 static void
-test_a_question_is_sent_three_times_before_its_silence_counts(void **state)
+test_ping_is_sent_three_times_before_it_times_out(void **state)
 {
     (void)state;
     struct sas_exchanges exchanges;
@@ -28,7 +28,7 @@
 }
 
 static void
-test_a_reply_ends_the_exchange(void **state)
+test_answer_ends_ping(void **state)
 {
     (void)state;
     struct sas_exchanges exchanges;
@@ -36,7 +36,7 @@
     SasExchange_Init(&exchanges);
     SasExchange_Begin(&exchanges, 4, 1000);
     SasExchange_Begin(&exchanges, 5, 1000);
-    SasExchange_Begin(&exchanges, 4, 1200); /* waits already */
+    SasExchange_Begin(&exchanges, 4, 1200); /* already pending */
     assert_int_equal(exchanges.count, 2);
     SasExchange_End(&exchanges, 4);
     SasExchange_End(&exchanges, 9);
@@ -46,13 +46,13 @@
 }
 
 static void
-test_no_more_wait_than_there_is_room_for(void **state)
+test_pending_pings_are_bounded(void **state)
 {
     (void)state;
     struct sas_exchanges exchanges;
     SasExchange_Init(&exchanges);
-    for (int seat = 0; seat < 2 * SasExchange_MAX; seat++) {
-        SasExchange_Begin(&exchanges, seat, 0);
+    for (int member_id = 0; member_id < 2 * SasExchange_MAX; member_id++) {
+        SasExchange_Begin(&exchanges, member_id, 0);
     }
     assert_int_equal(exchanges.count, SasExchange_MAX);
 }
@@ -61,10 +61,9 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(
-            test_a_question_is_sent_three_times_before_its_silence_counts),
-        cmocka_unit_test(test_a_reply_ends_the_exchange),
-        cmocka_unit_test(test_no_more_wait_than_there_is_room_for),
+        cmocka_unit_test(test_ping_is_sent_three_times_before_it_times_out),
+        cmocka_unit_test(test_answer_ends_ping),
+        cmocka_unit_test(test_pending_pings_are_bounded),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/core/tests/test_lag.c
+++ b/packages/core/tests/test_lag.c
@@ -6,8 +6,8 @@
 #include "sas/lag.h"
 
 #define BOUND_MS 2000
-#define ASK_MS 500
-#define UNSURE_MS 800
+#define POLL_MS 500
+#define STALE_MS 800
 
 static struct sas_lag
 make_lag(int64_t known)
@@ -19,7 +19,7 @@
 }
 
 static void
-test_what_is_known_is_no_lag(void **state)
+test_applied_change_is_no_lag(void **state)
 {
     (void)state;
     struct sas_lag lag = make_lag(12);
@@ -30,27 +30,27 @@
     assert_int_equal(SasLag_GetMs(&lag, 90000), 0);
 }
 
-/* Guards against an entry VM that serves an old configuration for as long as
- * its question to the store hangs. */
+/* Guards against an entry VM that serves an old configuration while its long
+ * poll of the store is stalled. */
 static void
-test_a_change_that_does_not_come_is_asked_for_elsewhere(void **state)
+test_missing_change_is_polled_elsewhere_then_stale(void **state)
 {
     (void)state;
     struct sas_lag lag = make_lag(8);
     SasLag_NoteExpected(&lag, 12, 1000);
     assert_int_equal(SasLag_GetState(&lag, 1000), SAS_LAG_WAIT);
-    assert_int_equal(SasLag_GetWaitMs(&lag, SAS_LAG_ASK, 1200), ASK_MS - 200);
-    assert_int_equal(SasLag_GetState(&lag, 1000 + ASK_MS), SAS_LAG_ASK);
-    assert_int_equal(SasLag_GetState(&lag, 1000 + UNSURE_MS), SAS_LAG_UNSURE);
+    assert_int_equal(SasLag_GetWaitMs(&lag, SAS_LAG_ASK, 1200), POLL_MS - 200);
+    assert_int_equal(SasLag_GetState(&lag, 1000 + POLL_MS), SAS_LAG_ASK);
+    assert_int_equal(SasLag_GetState(&lag, 1000 + STALE_MS), SAS_LAG_UNSURE);
     assert_int_equal(SasLag_GetWaitMs(&lag, SAS_LAG_UNSURE, 5000), 0);
     SasLag_NoteKnown(&lag, 12);
     assert_int_equal(SasLag_GetState(&lag, 5000), SAS_LAG_NONE);
 }
 
-/* Guards against one that never asks since newer changes keep coming: each of
- * them is named again and again, by many. */
+/* Guards against an entry VM that never polls elsewhere because each report of
+ * a newer change, or a repeated one, restarts its delay. */
 static void
-test_later_changes_do_not_put_the_question_off(void **state)
+test_newer_changes_do_not_restart_the_delay(void **state)
 {
     (void)state;
     struct sas_lag lag = make_lag(8);
@@ -62,26 +62,26 @@
     assert_int_equal(SasLag_GetState(&lag, 1900), SAS_LAG_UNSURE);
 }
 
-/* One that follows with the usual delay while changes come all the time is
- * not behind for longer than that delay. */
+/* Changes arrive all the time and are applied after 300 ms: the entry VM must
+ * not count as behind for longer than that. */
 static void
-test_one_that_keeps_up_is_never_asked_to_look_elsewhere(void **state)
+test_usual_delay_needs_no_poll_elsewhere(void **state)
 {
     (void)state;
     struct sas_lag lag = make_lag(0);
-    for (int64_t at = 0; at < 60000; at += 100) {
-        SasLag_NoteExpected(&lag, at + 1, at);
-        if (at >= 300) {
-            SasLag_NoteKnown(&lag, at + 1 - 300);
+    for (int64_t now_ms = 0; now_ms < 60000; now_ms += 100) {
+        SasLag_NoteExpected(&lag, now_ms + 1, now_ms);
+        if (now_ms >= 300) {
+            SasLag_NoteKnown(&lag, now_ms + 1 - 300);
         }
-        assert_true(SasLag_GetState(&lag, at) < SAS_LAG_ASK);
+        assert_true(SasLag_GetState(&lag, now_ms) < SAS_LAG_ASK);
     }
 }
 
-/* A version that no row has, from whoever names it, must not make an entry VM
- * doubt its rows for ever. */
+/* A reported version that no row has must not make the rows of an entry VM
+ * stale for good. */
 static void
-test_the_store_knows_better_than_others(void **state)
+test_store_version_overrides_reported_ones(void **state)
 {
     (void)state;
     struct sas_lag lag = make_lag(8);
@@ -97,13 +97,11 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_what_is_known_is_no_lag),
-        cmocka_unit_test(
-            test_a_change_that_does_not_come_is_asked_for_elsewhere),
-        cmocka_unit_test(test_later_changes_do_not_put_the_question_off),
-        cmocka_unit_test(
-            test_one_that_keeps_up_is_never_asked_to_look_elsewhere),
-        cmocka_unit_test(test_the_store_knows_better_than_others),
+        cmocka_unit_test(test_applied_change_is_no_lag),
+        cmocka_unit_test(test_missing_change_is_polled_elsewhere_then_stale),
+        cmocka_unit_test(test_newer_changes_do_not_restart_the_delay),
+        cmocka_unit_test(test_usual_delay_needs_no_poll_elsewhere),
+        cmocka_unit_test(test_store_version_overrides_reported_ones),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/core/tests/test_waits.c
+++ b/packages/core/tests/test_waits.c
@@ -5,10 +5,11 @@
 
 #include "sas/waits.h"
 
-/* Guards against a silence that is noticed later than a change has to be in
- * force, whatever the operators' bound is. */
+/* Guards against an unresponsive store or leader that is noticed after the
+ * bound within which a change has to be in force, for any bound that operators
+ * set. */
 static void
-test_a_silence_is_noticed_within_any_bound(void **state)
+test_unresponsive_side_is_noticed_within_any_bound(void **state)
 {
     (void)state;
     for (int64_t bound_ms = SasWaits_LEAST_BOUND_MS; bound_ms <= 60000;
@@ -19,10 +20,10 @@
     }
 }
 
-/* Guards against calls that are given up before an answer can come, and
- * against a store that is asked without a pause. */
+/* Guards against timeouts that are shorter than an answer takes, and against a
+ * store that is polled without a pause. */
 static void
-test_usual_bounds_leave_time_to_wait_and_to_answer(void **state)
+test_usual_bounds_leave_time_to_poll_and_to_answer(void **state)
 {
     (void)state;
     for (int64_t bound_ms = 2000; bound_ms <= 15000; bound_ms += 250) {
@@ -40,8 +41,8 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_a_silence_is_noticed_within_any_bound),
-        cmocka_unit_test(test_usual_bounds_leave_time_to_wait_and_to_answer),
+        cmocka_unit_test(test_unresponsive_side_is_noticed_within_any_bound),
+        cmocka_unit_test(test_usual_bounds_leave_time_to_poll_and_to_answer),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
