--- a/packages/core/src/fleet.c
+++ b/packages/core/src/fleet.c
@@ -20,7 +20,7 @@
 static void free_service(gpointer data);
 static void free_route(gpointer data);
 
-/* Start and end. */
+/* Creation and listeners. */
 
 struct sas_fleet *
 SasFleet_New(void)
@@ -60,20 +60,20 @@
 }
 
 static void
-tell_server(struct sas_fleet *fleet, int slot, bool gone)
+notify_server(struct sas_fleet *fleet, int slot, bool removed)
 {
     for (guint i = 0; i < fleet->listeners->len; i++) {
         struct sas_fleet_listener *listener = fleet->listeners->pdata[i];
-        if (gone && listener->on_server_gone != NULL) {
+        if (removed && listener->on_server_gone != NULL) {
             listener->on_server_gone(listener, slot);
         }
-        if (!gone && listener->on_server != NULL) {
+        if (!removed && listener->on_server != NULL) {
             listener->on_server(listener, slot);
         }
     }
 }
 
-/* Places. */
+/* Failure domains (zones) and regions. */
 
 static int
 add_region(struct sas_fleet *fleet, const char *name)
@@ -157,7 +157,7 @@
 /* Changes. */
 
 static void
-list_in_service(struct sas_fleet *fleet, int slot)
+add_to_service(struct sas_fleet *fleet, int slot)
 {
     const struct sas_fleet_server *server = SasFleet_At(fleet, slot);
     struct sas_fleet_service *service =
@@ -166,7 +166,7 @@
 }
 
 static void
-unlist_in_service(struct sas_fleet *fleet, int slot)
+remove_from_service(struct sas_fleet *fleet, int slot)
 {
     const struct sas_fleet_server *server = SasFleet_At(fleet, slot);
     GArray *slots = SasFleet_GetService(fleet, server->service)->servers;
@@ -179,7 +179,7 @@
 }
 
 static int
-take_slot(struct sas_fleet *fleet)
+allocate_slot(struct sas_fleet *fleet)
 {
     if (fleet->free_slots->len > 0) {
         guint last = fleet->free_slots->len - 1;
@@ -191,7 +191,8 @@
     return (int)fleet->servers->len - 1;
 }
 
-/* Same process, same place: what was learned of it stays true. */
+/* The same process at the same address: what was measured of it stays valid.
+ */
 static bool
 is_same_start(const struct sas_server_facts *a,
               const struct sas_server_facts *b)
@@ -215,12 +216,12 @@
         struct sas_fleet_server *server = fleet->servers->pdata[slot];
         if (is_same_start(&server->facts, facts)) {
             server->facts = *facts;
-            tell_server(fleet, slot, false);
+            notify_server(fleet, slot, false);
             return slot;
         }
         SasFleet_RemoveServer(fleet, facts->id);
     }
-    slot = take_slot(fleet);
+    slot = allocate_slot(fleet);
     struct sas_fleet_server *server = fleet->servers->pdata[slot];
     server->present = true;
     server->service = SasFleet_AddService(fleet, facts->service);
@@ -229,8 +230,8 @@
     server->facts = *facts;
     g_hash_table_insert(fleet->server_by_id, g_strdup(facts->id),
                         GINT_TO_POINTER(slot + 1));
-    list_in_service(fleet, slot);
-    tell_server(fleet, slot, false);
+    add_to_service(fleet, slot);
+    notify_server(fleet, slot, false);
     return slot;
 }
 
@@ -241,8 +242,8 @@
     if (slot == SasModel_NONE) {
         return false;
     }
-    tell_server(fleet, slot, true);
-    unlist_in_service(fleet, slot);
+    notify_server(fleet, slot, true);
+    remove_from_service(fleet, slot);
     g_hash_table_remove(fleet->server_by_id, id);
     struct sas_fleet_server *server = fleet->servers->pdata[slot];
     uint32_t generation = server->generation + 1;
@@ -275,7 +276,7 @@
 }
 
 static void
-mark_urgent(struct sas_fleet_config *config)
+mark_high_priority(struct sas_fleet_config *config)
 {
     int lowest = 0;
     for (guint i = 0; i < config->routes->len; i++) {
@@ -288,10 +289,11 @@
     }
 }
 
-/* The pace of a service that has not answered yet starts from the longest
- * objective of its routes. */
+/* The service time of a service that has not answered yet starts from the
+ * longest latency objective of its routes. */
 static void
-note_goals(struct sas_fleet *fleet, const struct sas_fleet_config *config)
+update_objectives(struct sas_fleet *fleet,
+                  const struct sas_fleet_config *config)
 {
     for (guint i = 0; i < config->routes->len; i++) {
         const struct sas_route *route = config->routes->pdata[i];
@@ -316,8 +318,8 @@
         return false;
     }
     config->applied_at = now_ms;
-    mark_urgent(config);
-    note_goals(fleet, config);
+    mark_high_priority(config);
+    update_objectives(fleet, config);
     SasFleetConfig_Unref(fleet->config);
     fleet->config = config;
     for (guint i = 0; i < fleet->listeners->len; i++) {
@@ -340,7 +342,7 @@
     config->routes = g_ptr_array_new_with_free_func(free_route);
     config->by_prefix =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
-    config->odd_routes = g_ptr_array_new();
+    config->non_slash_routes = g_ptr_array_new();
     return config;
 }
 
@@ -356,13 +358,13 @@
     route->parts = g_array_new(FALSE, FALSE, sizeof(struct sas_route_part));
     g_ptr_array_add(config->routes, route);
     if (!g_str_has_suffix(prefix, "/")) {
-        g_ptr_array_add(config->odd_routes, route);
+        g_ptr_array_add(config->non_slash_routes, route);
         return route;
     }
     g_autofree char *lower = g_ascii_strdown(host, -1);
     char *key = g_strconcat(lower, " ", prefix, NULL);
     if (g_hash_table_contains(config->by_prefix, key)) {
-        g_free(key); /* the first of two alike holds */
+        g_free(key); /* the first of two equal prefixes counts */
         return route;
     }
     g_hash_table_insert(config->by_prefix, key, route);
@@ -402,19 +404,19 @@
         return;
     }
     g_hash_table_destroy(config->by_prefix);
-    g_ptr_array_free(config->odd_routes, TRUE);
+    g_ptr_array_free(config->non_slash_routes, TRUE);
     g_ptr_array_free(config->routes, TRUE);
     g_free(config);
 }
 
 static const struct sas_route *
-find_odd_route(const struct sas_fleet_config *config, const char *host,
-               const char *path, size_t path_size)
+find_non_slash_route(const struct sas_fleet_config *config, const char *host,
+                     const char *path, size_t path_size)
 {
     const struct sas_route *best = NULL;
     size_t best_size = 0;
-    for (guint i = 0; i < config->odd_routes->len; i++) {
-        const struct sas_route *route = config->odd_routes->pdata[i];
+    for (guint i = 0; i < config->non_slash_routes->len; i++) {
+        const struct sas_route *route = config->non_slash_routes->pdata[i];
         size_t size = strlen(route->prefix);
         if (size > best_size && size <= path_size &&
             g_ascii_strcasecmp(route->host, host) == 0 &&
@@ -426,9 +428,9 @@
     return best;
 }
 
-/* Prefixes end with a slash, so the path's own prefixes up to a slash are all
- * that need to be looked up: with hundreds of routes a walk over them took
- * most of the time of all decisions on a request (tools/bench_routes.c). */
+/* Looks up each prefix of the path that ends with a slash, longest first. With
+ * hundreds of routes, a linear search took most of the time of all decisions
+ * on a request (tools/bench_routes.c). */
 const struct sas_route *
 SasFleetConfig_FindRoute(const struct sas_fleet_config *config,
                          const char *host, const char *target)
@@ -438,11 +440,11 @@
     size_t host_size = strlen(name) + 1;
     g_autofree char *key =
         g_strdup_printf("%s %.*s", name, (int)path_size, target);
-    const struct sas_route *odd =
-        find_odd_route(config, name, target, path_size);
-    size_t odd_size = odd != NULL ? strlen(odd->prefix) : 0;
+    const struct sas_route *non_slash =
+        find_non_slash_route(config, name, target, path_size);
+    size_t non_slash_size = non_slash != NULL ? strlen(non_slash->prefix) : 0;
     size_t longest = MIN(path_size, config->longest_prefix);
-    for (size_t size = longest; size > odd_size; size--) {
+    for (size_t size = longest; size > non_slash_size; size--) {
         if (target[size - 1] != '/') {
             continue;
         }
@@ -453,7 +455,7 @@
             return route;
         }
     }
-    return odd;
+    return non_slash;
 }
 
 struct sas_fleet_config *
@@ -499,8 +501,8 @@
 int
 SasFleet_FindService(const struct sas_fleet *fleet, const char *name)
 {
-    gpointer place = g_hash_table_lookup(fleet->service_by_name, name);
-    return place == NULL ? SasModel_NONE : GPOINTER_TO_INT(place) - 1;
+    gpointer value = g_hash_table_lookup(fleet->service_by_name, name);
+    return value == NULL ? SasModel_NONE : GPOINTER_TO_INT(value) - 1;
 }
 
 struct sas_fleet_service *
@@ -549,8 +551,8 @@
 int
 SasFleet_FindServer(const struct sas_fleet *fleet, const char *id)
 {
-    gpointer place = g_hash_table_lookup(fleet->server_by_id, id);
-    return place == NULL ? SasModel_NONE : GPOINTER_TO_INT(place) - 1;
+    gpointer value = g_hash_table_lookup(fleet->server_by_id, id);
+    return value == NULL ? SasModel_NONE : GPOINTER_TO_INT(value) - 1;
 }
 
 int
--- a/packages/core/src/snapshot.c
+++ b/packages/core/src/snapshot.c
@@ -24,8 +24,8 @@
     }
 }
 
-/* A name that doesn't fit has no row to be found by: a sheet can't hold it
- * either. */
+/* A name that is too long stays empty, so the row can't be found: a sheet
+ * can't hold such a name either. */
 static void
 copy_name(char *to, const char *name)
 {
@@ -60,10 +60,10 @@
     backend->slots = server->facts.slots;
 }
 
-/* Rows of servers that have gone have no name and are used again; free_rows
- * holds their indices, NULL: none. */
+/* Rows of removed servers have no name and are reused; free_rows holds their
+ * indices and may be NULL. */
 static int
-take_backend(struct sas_model *model, GArray *free_rows)
+allocate_backend(struct sas_model *model, GArray *free_rows)
 {
     if (free_rows != NULL && free_rows->len > 0) {
         int row = g_array_index(free_rows, int, free_rows->len - 1);
@@ -78,7 +78,7 @@
 static struct sas_backend *
 add_backend(struct sas_model *model, GArray *free_rows, const char *name)
 {
-    int row = take_backend(model, free_rows);
+    int row = allocate_backend(model, free_rows);
     struct sas_backend *backend = &model->backends[row];
     memset(backend, 0, sizeof(*backend));
     copy_name(backend->name, name);
--- a/packages/core/tests/fleet_support.h
+++ b/packages/core/tests/fleet_support.h
@@ -34,7 +34,7 @@
     return facts;
 }
 
-/* count servers named ZONE-0, ZONE-1, ... */
+/* count servers named SERVICE-ZONE-0, SERVICE-ZONE-1, ... */
 static inline void
 add_servers(struct sas_fleet *fleet, const char *service, const char *zone,
             int count)
--- a/packages/core/tests/property_fleet.py
+++ b/packages/core/tests/property_fleet.py
@@ -1,4 +1,4 @@
-"""The living model under servers that come, go and return, in any order."""
+"""The fleet while servers are added, removed and added again in any order."""
 import unittest
 
 from hypothesis import given, settings, strategies as st
@@ -25,7 +25,7 @@
 SERVICES = [b"desk", b"vault"]
 ZONES = [b"a", b"b"]
 
-# A put says everything of a server; the same start is one process.
+# A put gives all facts of a server; the same born number is the same process.
 steps = st.lists(st.one_of(
     st.tuples(st.just("put"), st.sampled_from(IDS),
               st.sampled_from(SERVICES), st.sampled_from(ZONES),
@@ -38,7 +38,7 @@
 class TestFleet(unittest.TestCase):
     @settings(PROFILE, max_examples=500)
     @given(steps)
-    def test_references_lead_to_that_start_or_nowhere(self, steps):
+    def test_references_give_that_start_or_nothing(self, steps):
         fleet = new()
         for zone in ZONES:
             add_zone(fleet, zone, b"region-" + zone)
@@ -64,8 +64,9 @@
 
     def check(self, fleet, known, references, evacuated):
         for slot, number, name, start in references:
-            # An id may return with the same start; the reference may then
-            # lead nowhere, but never to another server or a later start.
+            # A server may return under its id with the same start. An old
+            # reference may then be invalid, but must never give another
+            # server or a later start.
             found = get_id(fleet, slot, number)
             assert found in (b"", name)
             if found == name:
@@ -73,8 +74,8 @@
         for name in IDS:
             assert (find(fleet, name) >= 0) == (name in known)
         for service in SERVICES:
-            there = sum(1 for facts in known.values() if facts[0] == service)
-            assert count_listed(fleet, service) == there
+            listed = sum(1 for facts in known.values() if facts[0] == service)
+            assert count_listed(fleet, service) == listed
         for name, (_, zone, _, _, draining) in known.items():
             closed = draining or evacuated[ZONES.index(zone)]
             assert is_open(fleet, find(fleet, name)) == (not closed)
--- a/packages/core/tests/test_fleet.c
+++ b/packages/core/tests/test_fleet.c
@@ -9,9 +9,9 @@
     struct sas_fleet_listener listener;
     struct sas_fleet *fleet;
     int put;
-    int gone;
+    int removed;
     int configs;
-    char last_gone[SasFleet_ID_SIZE];
+    char last_removed[SasFleet_ID_SIZE];
 };
 
 static void
@@ -22,12 +22,12 @@
 }
 
 static void
-count_gone(struct sas_fleet_listener *listener, int slot)
+count_removed(struct sas_fleet_listener *listener, int slot)
 {
     struct counter *counter = (struct counter *)listener;
-    counter->gone++;
-    /* It is still there to be looked at. */
-    snprintf(counter->last_gone, sizeof(counter->last_gone), "%s",
+    counter->removed++;
+    /* The slot is still valid here. */
+    snprintf(counter->last_removed, sizeof(counter->last_removed), "%s",
              SasFleet_At(counter->fleet, slot)->facts.id);
 }
 
@@ -44,7 +44,7 @@
 {
     struct counter counter = {
         .listener = {.on_server = count_server,
-                     .on_server_gone = count_gone,
+                     .on_server_gone = count_removed,
                      .on_config = count_config},
         .fleet = fleet,
     };
@@ -52,7 +52,7 @@
 }
 
 static void
-test_servers_come_change_and_go(void **state)
+test_servers_are_added_changed_and_removed(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = new_fleet();
@@ -66,23 +66,23 @@
     facts.draining = true;
     assert_int_equal(SasFleet_PutServer(fleet, &facts), slot);
     assert_false(SasFleet_IsOpen(fleet, slot));
-    /* The same start of the same process: what was learned stays. */
+    /* The same process: what was measured of it is kept. */
     assert_int_equal(SasFleet_GetServer(fleet, ref)->traffic.in_flight, 2);
     assert_true(SasFleet_RemoveServer(fleet, "s1"));
     assert_false(SasFleet_RemoveServer(fleet, "s1"));
     assert_null(SasFleet_GetServer(fleet, ref));
     assert_int_equal(counter.put, 2);
-    assert_int_equal(counter.gone, 1);
-    assert_string_equal(counter.last_gone, "s1");
+    assert_int_equal(counter.removed, 1);
+    assert_string_equal(counter.last_removed, "s1");
     SasFleet_Free(fleet);
 }
 
-/* A crew's look-up would wait at a server that has only just started: it
- * crashes and comes back under its old id, and what was learned of the dead
- * process (its load, that it was shunned) were taken for the new one's. The
- * later start is a new server, and old references to it lead nowhere. */
+/* Guards against a restarted server that inherits the record of the dead
+ * process (its load, its ejection): it crashes and returns under the same id,
+ * and requests wait or avoid it for no reason. A later start is a new server,
+ * and old references are invalid. */
 static void
-test_a_later_start_under_the_same_id_is_a_new_server(void **state)
+test_restart_under_the_same_id_is_a_new_server(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = new_fleet();
@@ -98,11 +98,10 @@
     SasFleet_Free(fleet);
 }
 
-/* A filing would reach the photo store: a server ends and another service
- * gets its address and its place in the table. Whoever still holds a
- * reference to the old one must not find the new one by it. */
+/* Guards against a request that reaches a server of another service: a server
+ * is removed and its slot reused while code still holds a reference to it. */
 static void
-test_a_slot_used_again_does_not_answer_to_old_references(void **state)
+test_old_reference_to_a_reused_slot_is_invalid(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = new_fleet();
@@ -121,7 +120,7 @@
 }
 
 static void
-test_an_unknown_zone_names_no_server(void **state)
+test_server_in_an_unknown_zone_is_refused(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = new_fleet();
@@ -132,7 +131,7 @@
 }
 
 static void
-test_an_evacuated_zone_is_closed_until_it_is_taken_back(void **state)
+test_evacuated_zone_gets_no_requests(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = new_fleet();
@@ -147,10 +146,11 @@
     SasFleet_Free(fleet);
 }
 
-/* Callers would be sent by yesterday's routes: a late answer of the store, or
- * a peer that lags, brings an older configuration after a newer one. */
+/* Guards against requests that follow outdated routes: a late answer of the
+ * store, or a peer that is behind, brings an older configuration after a newer
+ * one. */
 static void
-test_a_configuration_never_goes_back(void **state)
+test_older_configuration_is_refused(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = new_fleet();
@@ -164,7 +164,7 @@
     assert_true(SasFleet_ApplyConfig(fleet, SasFleetConfig_New(12), 103));
     assert_int_equal(SasFleet_GetConfig(fleet)->version, 12);
     assert_int_equal(counter.configs, 2);
-    /* A request in progress keeps the one that it began with. */
+    /* A request in progress keeps the configuration it began with. */
     assert_int_equal(held->version, 7);
     SasFleetConfig_Unref(held);
     SasFleet_Free(fleet);
@@ -180,7 +180,7 @@
 }
 
 static void
-test_the_longest_prefix_of_the_host_is_the_route(void **state)
+test_longest_prefix_of_the_host_wins(void **state)
 {
     (void)state;
     struct sas_fleet_config *config = SasFleetConfig_New(1);
@@ -197,7 +197,7 @@
     assert_string_equal(find_route(config, "z.example", "/forms/7"), "");
     assert_string_equal(find_route(config, "x.example", "forms"), "");
     assert_string_equal(find_route(config, "x.example", ""), "");
-    /* One that doesn't end with a slash counts by its length too. */
+    /* A prefix that doesn't end with a slash counts by its length too. */
     SasFleetConfig_AddRoute(config, "odd", "x.example", "/forms/ol");
     assert_string_equal(find_route(config, "x.example", "/forms/olive"),
                         "odd");
@@ -207,7 +207,7 @@
 }
 
 static void
-test_routes_above_the_lowest_rank_are_urgent(void **state)
+test_routes_above_the_lowest_priority_are_high_priority(void **state)
 {
     (void)state;
     struct sas_fleet *fleet = SasFleet_New();
@@ -227,16 +227,15 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_servers_come_change_and_go),
-        cmocka_unit_test(test_a_later_start_under_the_same_id_is_a_new_server),
+        cmocka_unit_test(test_servers_are_added_changed_and_removed),
+        cmocka_unit_test(test_restart_under_the_same_id_is_a_new_server),
+        cmocka_unit_test(test_old_reference_to_a_reused_slot_is_invalid),
+        cmocka_unit_test(test_server_in_an_unknown_zone_is_refused),
+        cmocka_unit_test(test_evacuated_zone_gets_no_requests),
+        cmocka_unit_test(test_older_configuration_is_refused),
+        cmocka_unit_test(test_longest_prefix_of_the_host_wins),
         cmocka_unit_test(
-            test_a_slot_used_again_does_not_answer_to_old_references),
-        cmocka_unit_test(test_an_unknown_zone_names_no_server),
-        cmocka_unit_test(
-            test_an_evacuated_zone_is_closed_until_it_is_taken_back),
-        cmocka_unit_test(test_a_configuration_never_goes_back),
-        cmocka_unit_test(test_the_longest_prefix_of_the_host_is_the_route),
-        cmocka_unit_test(test_routes_above_the_lowest_rank_are_urgent),
+            test_routes_above_the_lowest_priority_are_high_priority),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
