--- a/packages/core/include/sas/grey.h
+++ b/packages/core/include/sas/grey.h
@@ -1,11 +1,13 @@
-/* grey - whether a backend server fails part of what it gets.
+/* grey - detects a grey failure: a backend server that fails part of its
+ * requests.
  *
- * Such a server takes connections, answers its health check and most of its
- * requests, and resets or fails the others: no two failures in a row give it
- * away. Each entry VM alone sees too few of its requests to tell, so all of
- * them report to one, the server's tester: each failure, with the answers that
- * came since the last. Those that meet no failure report nothing, so the share
- * is rather too high; the least number of failures keeps chance out.
+ * Such a server accepts connections, answers its health check and most of its
+ * requests, and resets or fails the others, so counting failures in a row
+ * doesn't find it. A single entry VM sees too few of its requests to tell, so
+ * all of them report to one, the server's prober: each failure, with the
+ * number of answers since the last report. Entry VMs without failures report
+ * nothing, so the computed share is too high rather than too low; the minimum
+ * number of failures keeps chance failures from counting.
  *
  * Times are monotonic milliseconds.
  */
@@ -19,31 +21,33 @@
 
 #define SasGrey_WINDOW_MS 3000
 
-/* Answers of the last second are reported: with those of three seconds it took
- * three seconds until those from before a server's trouble had gone. */
+/* Only answers of the last second are reported: with three seconds, answers
+ * from before the failure began hid it for three seconds. */
 #define SasGrey_OWN_MS 1000
 
-/* Grey from so many failures in the window, and from this part on. */
+/* Minimum failures in the window, and their share of all requests there. */
 #define SasGrey_MIN_FAILED 5
 #define SasGrey_SHARE 0.25
 
-/* For so long: until the next failures have come in, if they do. */
+/* How long a server stays marked, so that further failures can renew it. */
 #define SasGrey_HOLD_MS 3000
 
 struct sas_grey {
-    struct sas_window failed;   /* of all entry VMs, at the tester */
+    struct sas_window failed;   /* of all entry VMs, at the prober */
     struct sas_window answered; /* the same */
-    struct sas_window own;      /* answers here, not reported yet */
+    struct sas_window own;      /* answers to this VM, not reported yet */
 };
 
 void SasGrey_Init(struct sas_grey *grey);
 
-/* An answer; and what to report of them with the next failure. Older ones
- * say nothing of a server that has just begun to fail. */
+/* NoteAnswered counts an answer. TakeAnswered returns the number to report
+ * with a failure and resets it; answers older than SasGrey_OWN_MS say nothing
+ * of a server that has just begun to fail. */
 void SasGrey_NoteAnswered(struct sas_grey *grey, int64_t now_ms);
 int SasGrey_TakeAnswered(struct sas_grey *grey, int64_t now_ms);
 
-/* True when the server is grey; the counts then begin anew. */
+/* Adds a report. True if the server has a grey failure; the counts are then
+ * reset. */
 bool SasGrey_Add(struct sas_grey *grey, int failed, int answered,
                  int64_t now_ms);
 
--- a/packages/core/include/sas/objects.h
+++ b/packages/core/include/sas/objects.h
@@ -1,10 +1,11 @@
-/* objects - which backend servers know an object, as far as this entry VM
- * has seen.
+/* objects - which backend servers have an object cached, as seen by this entry
+ * VM.
  *
- * A server that has answered for an object answers the next time in a
- * fraction of the time. The table remembers the last servers that answered
- * here for each object. It is bounded: where a set is full the object that
- * was used least lately is forgotten, and counts as new everywhere.
+ * A server that has answered for an object has it cached and answers for it
+ * again in a fraction of the time. The table holds for each object the last
+ * servers that answered this entry VM. It is a set-associative cache: where a
+ * set is full, the least recently used object is evicted and counts as
+ * uncached on all servers.
  */
 #ifndef SAS_OBJECTS_H
 #define SAS_OBJECTS_H
@@ -22,21 +23,23 @@
 struct sas_objects *SasObjects_New(void);
 void SasObjects_Free(struct sas_objects *objects);
 
-/* A request for the object was sent to a server that does not know it yet. */
+/* A request for the object was sent to a server that hasn't cached it yet. */
 void SasObjects_NoteSent(struct sas_objects *objects, int service,
                          uint64_t key, struct sas_server_ref server,
                          int64_t now_ms);
 
-/* The server has answered for the object of the service. */
+/* The server has answered for the object of the service: it is cached there.
+ */
 void SasObjects_NoteAnswered(struct sas_objects *objects, int service,
                              uint64_t key, struct sas_server_ref server);
 
-/* Whether it has, in this start of the server. */
+/* Whether the server has the object cached. Each start of a server has another
+ * generation and begins with an empty cache. */
 bool SasObjects_IsKnown(const struct sas_objects *objects, int service,
                         uint64_t key, struct sas_server_ref server);
 
-/* When the last request was sent that makes the object known to the server;
- * 0: none is under way, as far as is known. */
+/* When the pending request was sent after which the server has the object
+ * cached; 0: none is known to be pending. */
 int64_t SasObjects_GetSentAt(const struct sas_objects *objects, int service,
                              uint64_t key, struct sas_server_ref server);
 
--- a/packages/core/src/measure.c
+++ b/packages/core/src/measure.c
@@ -4,16 +4,16 @@
 #include <math.h>
 #include <string.h>
 
-static void judge_report(struct sas_measure_row *row);
+static void check_report(struct sas_measure_row *row);
 static double get_weight(const struct sas_measure_row *row, int64_t now_ms);
-static int get_others(const struct sas_measure_row *row);
+static int get_load_of_others(const struct sas_measure_row *row);
 static int get_slots(const struct sas_measure *measure, int backend);
 static double get_free_share(const struct sas_measure *measure, int backend,
                              int64_t now_ms);
 static double find_median_age(const struct sas_measure *measure, int service,
                               int region, int64_t now_ms);
 
-/* Life. */
+/* Start and end. */
 
 void
 SasMeasure_Init(struct sas_measure *measure, const struct sas_model *model,
@@ -34,7 +34,7 @@
     memset(measure, 0, sizeof(*measure));
 }
 
-/* What comes in. */
+/* Updates. */
 
 void
 SasMeasure_Report(struct sas_measure *measure, int backend, int running,
@@ -49,7 +49,7 @@
     row->slots = CLAMP(slots, 0, SasMeasure_MAX_COUNT);
     row->report_ms = now_ms;
     row->reported = true;
-    judge_report(row);
+    check_report(row);
     row->own_at_report = row->in_flight;
     if (now_ms - row->window_ms >= SasMeasure_SETTLE_MS) {
         row->low_before = row->low;
@@ -73,7 +73,7 @@
     bool recent =
         row->reported && now_ms - row->report_ms <= SasMeasure_IDLE_MS;
     bool idle = row->running < get_slots(measure, backend) && row->queued == 0;
-    /* One report is refuted once, however many requests it sheds. */
+    /* A report is refuted once, for any number of shed requests. */
     bool refuted = row->shed && row->shed_ms >= row->report_ms;
     if (recent && idle && !refuted) {
         row->trust *= SasMeasure_DOUBT;
@@ -88,14 +88,15 @@
     measure->rows[backend].leaving = leaving;
 }
 
-/* What is made of it. */
+/* Estimates. */
 
 double
 SasMeasure_GetLoad(const struct sas_measure *measure, int backend,
                    int64_t now_ms)
 {
     const struct sas_measure_row *row = &measure->rows[backend];
-    double load = row->in_flight + get_weight(row, now_ms) * get_others(row);
+    double load =
+        row->in_flight + get_weight(row, now_ms) * get_load_of_others(row);
     if (row->shed && now_ms - row->shed_ms < SasMeasure_SHED_MS) {
         load = fmax(load, get_slots(measure, backend));
     }
@@ -113,32 +114,32 @@
                        const struct sas_model *model, int service, int region,
                        int64_t now_ms, double *age_ms)
 {
-    double all = 0;
-    double unused = 0;
+    double total_slots = 0;
+    double free_slots = 0;
     for (int i = 0; i < model->backend_count; i++) {
         if (model->backends[i].service == service &&
             SasModel_GetBackendRegion(model, i) == region &&
             !measure->rows[i].leaving) {
-            all += model->backends[i].slots;
-            unused +=
+            total_slots += model->backends[i].slots;
+            free_slots +=
                 model->backends[i].slots * get_free_share(measure, i, now_ms);
         }
     }
     if (age_ms != NULL) {
         *age_ms = find_median_age(measure, service, region, now_ms);
     }
-    return all > 0 ? unused / all : 0;
+    return total_slots > 0 ? free_slots / total_slots : 0;
 }
 
-/* Reports. */
+/* Checks and weights of reports. */
 
-/* Failure: a load endpoint that lags or lies says "idle", every node believes
- * it, and all their requests land on the one server that can't take them.
- * At every instant of the last SasMeasure_SETTLE_MS at least `seen` requests
- * from here were under way. Some of them were on the wire, so half of them
- * must be among those it reports; otherwise it is believed half as much. */
+/* Guards against a load endpoint that is late or wrong and reports "idle":
+ * all nodes would send their requests to that server, which can't run them.
+ * At least `seen` requests from here were in flight at every moment of the
+ * last SasMeasure_SETTLE_MS. Some of them were on the wire, so the report has
+ * to include half of them; otherwise the trust is halved. */
 static void
-judge_report(struct sas_measure_row *row)
+check_report(struct sas_measure_row *row)
 {
     int seen = MIN(row->low, row->low_before);
     if (2 * (row->running + row->queued) + 1 < seen) {
@@ -160,14 +161,15 @@
     return row->trust * exp2(-halvings);
 }
 
-/* What the report says beyond the requests of this node. */
+/* Requests in the report that this node didn't send. */
 static int
-get_others(const struct sas_measure_row *row)
+get_load_of_others(const struct sas_measure_row *row)
 {
     return MAX(0, row->running + row->queued - row->own_at_report);
 }
 
-/* Never more than configured; less when the server says so. */
+/* At most the configured execution slots, fewer if the server reports fewer.
+ */
 static int
 get_slots(const struct sas_measure *measure, int backend)
 {
@@ -176,8 +178,8 @@
     return row->reported && row->slots > 0 ? MIN(slots, row->slots) : slots;
 }
 
-/* The free share of the configured slots: what the figures say, but above the
- * floor only as far as they carry weight. */
+/* The free share of the configured slots. The part above the floor is limited
+ * by the report's weight. */
 static double
 get_free_share(const struct sas_measure *measure, int backend, int64_t now_ms)
 {
@@ -191,9 +193,9 @@
         return floor;
     }
     double left =
-        get_slots(measure, backend) - row->in_flight - get_others(row);
-    double most = floor + (1 - floor) * get_weight(row, now_ms);
-    return CLAMP(left / configured, 0, most);
+        get_slots(measure, backend) - row->in_flight - get_load_of_others(row);
+    double limit = floor + (1 - floor) * get_weight(row, now_ms);
+    return CLAMP(left / configured, 0, limit);
 }
 
 static int
@@ -205,33 +207,35 @@
     return (a->report_ms < b->report_ms) - (a->report_ms > b->report_ms);
 }
 
-/* One dead server must not hold a ramp for good, nor one lively server speak
- * for a silent region: the age is that within which half the slots spoke. */
+/* The age of the reports that cover half of the slots. The oldest report would
+ * let one dead server hold a ramp for good, the newest one would let a single
+ * server stand for a region that doesn't report. */
 static double
 find_median_age(const struct sas_measure *measure, int service, int region,
                 int64_t now_ms)
 {
     const struct sas_model *model = measure->model;
-    g_autofree int *spoke = g_new0(int, model->backend_count + 1);
+    g_autofree int *reported = g_new0(int, model->backend_count + 1);
     int count = 0;
-    double all = 0;
-    double sum = 0;
+    double total_slots = 0;
+    double covered_slots = 0;
     for (int i = 0; i < model->backend_count; i++) {
         if (model->backends[i].service == service &&
             SasModel_GetBackendRegion(model, i) == region &&
             !measure->rows[i].leaving) {
-            all += model->backends[i].slots;
+            total_slots += model->backends[i].slots;
             if (measure->rows[i].reported) {
-                spoke[count++] = i;
+                reported[count++] = i;
             }
         }
     }
-    g_qsort_with_data(spoke, count, sizeof(spoke[0]), compare_ages,
+    g_qsort_with_data(reported, count, sizeof(reported[0]), compare_ages,
                       (void *)measure);
     for (int i = 0; i < count; i++) {
-        sum += model->backends[spoke[i]].slots;
-        if (sum * 2 >= all) {
-            return (double)MAX(0, now_ms - measure->rows[spoke[i]].report_ms);
+        covered_slots += model->backends[reported[i]].slots;
+        if (covered_slots * 2 >= total_slots) {
+            return (double)MAX(0,
+                               now_ms - measure->rows[reported[i]].report_ms);
         }
     }
     return NAN;
--- a/packages/core/src/objects.c
+++ b/packages/core/src/objects.c
@@ -13,16 +13,16 @@
 };
 
 struct object {
-    uint64_t key; /* 0: the place is free */
-    uint32_t used_at;
-    uint8_t next; /* holder to be replaced */
+    uint64_t key;     /* 0: empty */
+    uint32_t used_at; /* for the eviction of the least recently used */
+    uint8_t next;     /* index of the holder to be replaced next */
     struct holder holders[SasObjects_HOLDERS];
-    struct holder learner; /* is getting to know it */
-    int64_t sent_at;       /* to the learner */
+    struct holder pending_holder; /* got a first request for it */
+    int64_t sent_at;              /* of that request, ms */
 };
 
 struct sas_objects {
-    uint32_t uses;
+    uint32_t uses; /* clock of used_at */
     struct object sets[SETS][WAYS];
 };
 
@@ -38,41 +38,44 @@
     g_free(objects);
 }
 
+/* Mixes the service into the key; never 0. */
 static uint64_t
 get_full_key(int service, uint64_t key)
 {
-    uint64_t full = key ^ ((uint64_t)(service + 1) * 0x9e3779b97f4a7c15ULL);
-    return full != 0 ? full : 1;
+    uint64_t full_key =
+        key ^ ((uint64_t)(service + 1) * 0x9e3779b97f4a7c15ULL);
+    return full_key != 0 ? full_key : 1;
 }
 
 static int
-find(const struct object *set, uint64_t full)
+find_way(const struct object *set, uint64_t full_key)
 {
     for (int i = 0; i < WAYS; i++) {
-        if (set[i].key == full) {
+        if (set[i].key == full_key) {
             return i;
         }
     }
     return SasModel_NONE;
 }
 
+/* The object's entry, which may replace the least recently used one. */
 static struct object *
-take_place(struct sas_objects *objects, uint64_t full)
+find_or_add(struct sas_objects *objects, uint64_t full_key)
 {
-    struct object *set = objects->sets[full % SETS];
-    int place = find(set, full);
-    if (place != SasModel_NONE) {
-        return &set[place];
+    struct object *set = objects->sets[full_key % SETS];
+    int way = find_way(set, full_key);
+    if (way != SasModel_NONE) {
+        return &set[way];
     }
-    place = 0;
+    way = 0;
     for (int i = 1; i < WAYS; i++) {
-        if (set[i].used_at < set[place].used_at) {
-            place = i;
+        if (set[i].used_at < set[way].used_at) {
+            way = i;
         }
     }
-    memset(&set[place], 0, sizeof(set[place]));
-    set[place].key = full;
-    return &set[place];
+    memset(&set[way], 0, sizeof(set[way]));
+    set[way].key = full_key;
+    return &set[way];
 }
 
 static struct holder
@@ -103,9 +106,9 @@
 SasObjects_NoteSent(struct sas_objects *objects, int service, uint64_t key,
                     struct sas_server_ref server, int64_t now_ms)
 {
-    struct object *object = take_place(objects, get_full_key(service, key));
+    struct object *object = find_or_add(objects, get_full_key(service, key));
     object->used_at = ++objects->uses;
-    object->learner = make_holder(server);
+    object->pending_holder = make_holder(server);
     object->sent_at = now_ms;
 }
 
@@ -113,10 +116,10 @@
 SasObjects_NoteAnswered(struct sas_objects *objects, int service, uint64_t key,
                         struct sas_server_ref server)
 {
-    struct object *object = take_place(objects, get_full_key(service, key));
+    struct object *object = find_or_add(objects, get_full_key(service, key));
     object->used_at = ++objects->uses;
-    if (is_holder(&object->learner, server)) {
-        object->learner = (struct holder){0};
+    if (is_holder(&object->pending_holder, server)) {
+        object->pending_holder = (struct holder){0};
     }
     if (has_holder(object, server)) {
         return;
@@ -128,10 +131,10 @@
 static const struct object *
 find_object(const struct sas_objects *objects, int service, uint64_t key)
 {
-    uint64_t full = get_full_key(service, key);
-    const struct object *set = objects->sets[full % SETS];
-    int place = find(set, full);
-    return place != SasModel_NONE ? &set[place] : NULL;
+    uint64_t full_key = get_full_key(service, key);
+    const struct object *set = objects->sets[full_key % SETS];
+    int way = find_way(set, full_key);
+    return way != SasModel_NONE ? &set[way] : NULL;
 }
 
 bool
@@ -147,7 +150,7 @@
                      uint64_t key, struct sas_server_ref server)
 {
     const struct object *object = find_object(objects, service, key);
-    return object != NULL && is_holder(&object->learner, server)
+    return object != NULL && is_holder(&object->pending_holder, server)
                ? object->sent_at
                : 0;
 }
--- a/packages/core/src/quarantine.c
+++ b/packages/core/src/quarantine.c
@@ -14,11 +14,11 @@
 static void add_crash(struct sas_quarantine *q,
                       struct sas_quarantine_entry *entry,
                       struct sas_crash crash);
-static bool is_voided(const struct sas_quarantine *q, uint64_t crash);
-static int crash_weight(const struct sas_crash *crash);
-static int count_guilt(const struct sas_quarantine_entry *entry);
+static bool is_dismissed(const struct sas_quarantine *q, uint64_t crash);
+static int get_crash_weight(const struct sas_crash *crash);
+static int count_uncleared(const struct sas_quarantine_entry *entry);
 static bool is_quarantined(const struct sas_quarantine_entry *entry);
-static int danger(const struct sas_quarantine_entry *entry);
+static int get_severity(const struct sas_quarantine_entry *entry);
 
 struct sas_fingerprint
 SasQuarantine_GetFingerprint(const char *method, const char *target,
@@ -52,17 +52,17 @@
 void
 SasQuarantine_Suspect(struct sas_quarantine *q,
                       struct sas_fingerprint fingerprint, uint64_t crash,
-                      bool alone, int64_t now_ms)
+                      bool isolated, int64_t now_ms)
 {
     struct sas_quarantine_entry *entry = add_entry(q, fingerprint, now_ms);
-    int known = count_guilt(entry);
-    add_crash(q, entry, (struct sas_crash){.id = crash, .alone = alone});
-    if (count_guilt(entry) > known) {
+    int known = count_uncleared(entry);
+    add_crash(q, entry, (struct sas_crash){.id = crash, .alone = isolated});
+    if (count_uncleared(entry) > known) {
         entry->crashed_at = now_ms;
     }
-    int64_t life = is_quarantined(entry) ? SasQuarantine_LIFE_MS
-                                         : SasQuarantine_SUSPECT_MS;
-    entry->left_ms = MAX(entry->left_ms, now_ms + life);
+    int64_t life_ms = is_quarantined(entry) ? SasQuarantine_LIFE_MS
+                                            : SasQuarantine_SUSPECT_MS;
+    entry->left_ms = MAX(entry->left_ms, now_ms + life_ms);
 }
 
 void
@@ -70,8 +70,8 @@
                     struct sas_fingerprint fingerprint, int64_t now_ms)
 {
     struct sas_quarantine_entry *entry = find_entry(q, fingerprint, now_ms);
-    /* What is quarantined by now (news from a peer) is not cleared by a run
-     * that was begun before. */
+    /* A run that began before a peer's report quarantined the request doesn't
+     * clear it. */
     if (entry == NULL || is_quarantined(entry)) {
         return;
     }
@@ -84,8 +84,8 @@
 SasQuarantine_Void(struct sas_quarantine *q, uint64_t crash, int64_t now_ms)
 {
     drop_expired(q, now_ms);
-    /* Remembered, because a peer may tell of that crash only later. */
-    if (!is_voided(q, crash)) {
+    /* Kept, because a peer may report that crash later. */
+    if (!is_dismissed(q, crash)) {
         q->voided[q->next_voided] = crash;
         q->next_voided = (q->next_voided + 1) % SasQuarantine_MAX_VOIDED;
     }
@@ -104,7 +104,7 @@
 {
     struct sas_quarantine_entry *entry = find_entry(q, fingerprint, now_ms);
     *retry_after_s = 0;
-    if (entry == NULL || count_guilt(entry) == 0) {
+    if (entry == NULL || count_uncleared(entry) == 0) {
         return SAS_QUARANTINE_ALLOW;
     }
     if (is_quarantined(entry)) {
@@ -125,7 +125,7 @@
 {
     const struct sas_quarantine_entry *entry =
         find_entry(q, fingerprint, now_ms);
-    return entry != NULL ? count_guilt(entry) : 0;
+    return entry != NULL ? count_uncleared(entry) : 0;
 }
 
 int64_t
@@ -156,8 +156,8 @@
     if (entry == NULL) {
         return true;
     }
-    /* Two runs alone at the same time crash two backend servers where one
-     * would tell as much. */
+    /* Two isolated runs at a time would crash two backend servers where one
+     * crash shows as much. */
     if (entry->trial_ms > now_ms || is_quarantined(entry)) {
         return false;
     }
@@ -215,9 +215,9 @@
                     const struct sas_quarantine_entry *entry, int64_t now_ms)
 {
     int count = CLAMP(entry->crash_count, 0, SasQuarantine_MAX_CRASHES);
-    int64_t left = CLAMP(entry->left_ms, 0, SasQuarantine_LIFE_MS);
-    int64_t trial = CLAMP(entry->trial_ms, 0, SasQuarantine_SUSPECT_MS);
-    if (count == 0 || left == 0) {
+    int64_t left_ms = CLAMP(entry->left_ms, 0, SasQuarantine_LIFE_MS);
+    int64_t isolated_ms = CLAMP(entry->trial_ms, 0, SasQuarantine_SUSPECT_MS);
+    if (count == 0 || left_ms == 0) {
         return;
     }
     struct sas_quarantine_entry *own =
@@ -227,8 +227,8 @@
             add_crash(q, own, entry->crashes[i]);
         }
     }
-    own->left_ms = MAX(own->left_ms, now_ms + left);
-    own->trial_ms = MAX(own->trial_ms, now_ms + trial);
+    own->left_ms = MAX(own->left_ms, now_ms + left_ms);
+    own->trial_ms = MAX(own->trial_ms, now_ms + isolated_ms);
     own->crashed_at = MAX(own->crashed_at, now_ms - MAX(entry->crashed_at, 0));
 }
 
@@ -263,9 +263,10 @@
     else {
         entry = &q->entries[0];
         for (int i = 1; i < q->count; i++) {
-            int more = danger(&q->entries[i]) - danger(entry);
-            if (more < 0 ||
-                (more == 0 && q->entries[i].left_ms < entry->left_ms)) {
+            int difference =
+                get_severity(&q->entries[i]) - get_severity(entry);
+            if (difference < 0 ||
+                (difference == 0 && q->entries[i].left_ms < entry->left_ms)) {
                 entry = &q->entries[i];
             }
         }
@@ -291,15 +292,15 @@
     q->count = kept;
 }
 
-/* Keeps the crashes sorted, the weightiest first, so that a full list drops
- * the same ones in whatever order they came. */
+/* Keeps the crashes sorted by descending weight, so that a full list drops the
+ * same ones in any order of arrival. */
 static void
 add_crash(struct sas_quarantine *q, struct sas_quarantine_entry *entry,
           struct sas_crash crash)
 {
     struct sas_crash all[SasQuarantine_MAX_CRASHES + 1];
     int count = 0;
-    crash.cleared = crash.cleared || is_voided(q, crash.id);
+    crash.cleared = crash.cleared || is_dismissed(q, crash.id);
     for (int i = 0; i < entry->crash_count; i++) {
         if (entry->crashes[i].id == crash.id) {
             crash.alone = crash.alone || entry->crashes[i].alone;
@@ -310,9 +311,10 @@
         }
     }
     int at = count;
-    while (at > 0 && (crash_weight(&all[at - 1]) < crash_weight(&crash) ||
-                      (crash_weight(&all[at - 1]) == crash_weight(&crash) &&
-                       all[at - 1].id < crash.id))) {
+    while (at > 0 &&
+           (get_crash_weight(&all[at - 1]) < get_crash_weight(&crash) ||
+            (get_crash_weight(&all[at - 1]) == get_crash_weight(&crash) &&
+             all[at - 1].id < crash.id))) {
         all[at] = all[at - 1];
         at--;
     }
@@ -322,7 +324,7 @@
 }
 
 static bool
-is_voided(const struct sas_quarantine *q, uint64_t crash)
+is_dismissed(const struct sas_quarantine *q, uint64_t crash)
 {
     for (int i = 0; i < SasQuarantine_MAX_VOIDED; i++) {
         if (q->voided[i] == crash) {
@@ -333,13 +335,13 @@
 }
 
 static int
-crash_weight(const struct sas_crash *crash)
+get_crash_weight(const struct sas_crash *crash)
 {
     return crash->cleared ? 0 : 1 + crash->alone;
 }
 
 static int
-count_guilt(const struct sas_quarantine_entry *entry)
+count_uncleared(const struct sas_quarantine_entry *entry)
 {
     int count = 0;
     for (int i = 0; i < entry->crash_count; i++) {
@@ -348,22 +350,23 @@
     return count;
 }
 
-/* Two crashes, and in one of them nothing else can have been the cause. A
- * popular request may be present in any number of others' crashes. */
+/* Two crashes, one of them in an isolated run. Without that condition a
+ * popular request would be quarantined: it may run in any number of crashes
+ * that other requests cause. */
 static bool
 is_quarantined(const struct sas_quarantine_entry *entry)
 {
-    bool alone = false;
+    bool isolated = false;
     for (int i = 0; i < entry->crash_count; i++) {
-        alone =
-            alone || (entry->crashes[i].alone && !entry->crashes[i].cleared);
+        isolated = isolated ||
+                   (entry->crashes[i].alone && !entry->crashes[i].cleared);
     }
-    return alone && count_guilt(entry) >= 2;
+    return isolated && count_uncleared(entry) >= 2;
 }
 
 static int
-danger(const struct sas_quarantine_entry *entry)
+get_severity(const struct sas_quarantine_entry *entry)
 {
     return is_quarantined(entry) * 2 * SasQuarantine_MAX_CRASHES +
-           count_guilt(entry);
+           count_uncleared(entry);
 }
--- a/packages/core/src/window.c
+++ b/packages/core/src/window.c
@@ -13,7 +13,7 @@
     window->bucket_ms = MAX(span_ms / SasWindow_BUCKETS, 1);
 }
 
-/* Clears the buckets between the newest one and that of now_ms. */
+/* Makes the bucket of now_ms the newest one and clears those it replaces. */
 static void
 advance(struct sas_window *window, int64_t now_ms)
 {
--- a/packages/core/tests/test_grey.c
+++ b/packages/core/tests/test_grey.c
@@ -10,58 +10,59 @@
 #define RATE 11 /* requests a second to one server */
 #define VMS 9
 
-/* Plays requests of nine entry VMs to a server that is well for ten seconds
- * and then fails a part; when it was found grey, in ms since then, or -1. */
+/* Simulates requests of nine entry VMs to a server that is healthy for ten
+ * seconds and then fails a share of them. Returns after how many ms the grey
+ * failure was detected, or -1. */
 static int64_t
-play(double failing, int seconds, guint32 seed)
+simulate(double failure_share, int seconds, guint32 seed)
 {
     GRand *random = g_rand_new_with_seed(seed);
     struct sas_grey vms[VMS];
-    int64_t found_at = -1;
+    int64_t detected_ms = -1;
     for (int i = 0; i < VMS; i++) {
         SasGrey_Init(&vms[i]);
     }
-    for (int i = 0; i < RATE * (10 + seconds) && found_at < 0; i++) {
+    for (int i = 0; i < RATE * (10 + seconds) && detected_ms < 0; i++) {
         int64_t now_ms = 1000 + i * 1000 / RATE;
         int vm = g_rand_int_range(random, 0, VMS);
-        if (i < RATE * 10 || g_rand_double(random) >= failing) {
+        if (i < RATE * 10 || g_rand_double(random) >= failure_share) {
             SasGrey_NoteAnswered(&vms[vm], now_ms);
             continue;
         }
         int answered = SasGrey_TakeAnswered(&vms[vm], now_ms);
         if (SasGrey_Add(&vms[0], 1, answered, now_ms)) {
-            found_at = now_ms - 11000;
+            detected_ms = now_ms - 11000;
         }
     }
     g_rand_free(random);
-    return found_at;
+    return detected_ms;
 }
 
-/* A clerk's filings are lost again and again: one server of 24 resets two of
- * five requests, and answers the others in its usual time. It must be found
- * out within a few seconds, whatever the order of its failures. */
+/* One of 24 servers resets two of five requests and answers the others in the
+ * usual time, so requests keep getting lost. It must be detected within 4 s,
+ * for any order of the failures. */
 static void
-test_a_server_that_fails_two_of_five_is_found_out(void **state)
+test_server_that_fails_two_of_five_is_detected(void **state)
 {
     (void)state;
     for (guint32 seed = 0; seed < 100; seed++) {
-        assert_in_range(play(0.4, 10, seed), 0, 4000);
+        assert_in_range(simulate(0.4, 10, seed), 0, 4000);
     }
 }
 
 static void
-test_a_few_lost_answers_make_no_server_grey(void **state)
+test_few_lost_answers_are_no_grey_failure(void **state)
 {
     (void)state;
-    int found_at = 0;
+    int false_alarms = 0;
     for (guint32 seed = 0; seed < 100; seed++) {
-        found_at += play(0.03, 10, seed) >= 0;
+        false_alarms += simulate(0.03, 10, seed) >= 0;
     }
-    assert_in_range(found_at, 0, 5);
+    assert_in_range(false_alarms, 0, 5);
 }
 
 static void
-test_old_failures_count_no_more(void **state)
+test_old_failures_do_not_count(void **state)
 {
     (void)state;
     struct sas_grey grey;
@@ -77,9 +78,9 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_a_server_that_fails_two_of_five_is_found_out),
-        cmocka_unit_test(test_a_few_lost_answers_make_no_server_grey),
-        cmocka_unit_test(test_old_failures_count_no_more),
+        cmocka_unit_test(test_server_that_fails_two_of_five_is_detected),
+        cmocka_unit_test(test_few_lost_answers_are_no_grey_failure),
+        cmocka_unit_test(test_old_failures_do_not_count),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/core/tests/test_measure.c
+++ b/packages/core/tests/test_measure.c
@@ -28,9 +28,9 @@
 }
 
 static void
-assert_near(double have, double wanted)
+assert_near(double actual, double expected)
 {
-    assert_true(fabs(have - wanted) < 1e-9);
+    assert_true(fabs(actual - expected) < 1e-9);
 }
 
 static double
@@ -41,7 +41,7 @@
 }
 
 static void
-test_a_report_fades_towards_our_own_count(void **state)
+test_report_decays_towards_own_requests(void **state)
 {
     (void)state;
     SasMeasure_SetInFlight(&measure, 0, 1);
@@ -55,10 +55,10 @@
     assert_near(SasMeasure_GetLoad(&measure, 0, 1000), 2 + 4);
 }
 
-/* A load endpoint is stuck at "idle". Every node believes it and sends there;
- * the server sheds while others stand by. */
+/* A load endpoint is stuck at "idle". If nodes trusted it, they would send to
+ * that server until it sheds, while others are idle. */
 static void
-test_a_report_against_our_own_eyes_is_doubted(void **state)
+test_contradicted_report_lowers_trust(void **state)
 {
     (void)state;
     SasMeasure_SetInFlight(&measure, 0, 3);
@@ -79,9 +79,10 @@
 }
 
 /* Requests of 10 ms to a region 20 ms away: five are in flight from here, but
- * seldom more than two run there. An honest server must stay trusted. */
+ * seldom more than two run there. A server that reports so must stay trusted.
+ */
 static void
-test_an_honest_report_is_not_doubted(void **state)
+test_fitting_report_keeps_trust(void **state)
 {
     (void)state;
     for (int i = 0; i < 20; i++) {
@@ -95,8 +96,8 @@
     assert_near(SasMeasure_GetTrust(&measure, 0), 1);
 }
 
-/* Reports stop. The last ones said "idle"; a region that is steered by them
- * fills up unseen. */
+/* Guards against a region that fills up unnoticed: reports stop, the last ones
+ * said "idle", and requests are steered by them. */
 static void
 test_headroom_falls_to_the_floor_without_reports(void **state)
 {
@@ -119,7 +120,7 @@
 }
 
 static void
-test_a_full_server_fades_no_headroom_into_being(void **state)
+test_decayed_report_of_a_full_server_gives_no_headroom(void **state)
 {
     (void)state;
     SasMeasure_Report(&measure, 0, 3, 4, 3, 1000);
@@ -143,7 +144,7 @@
     assert_true(isnan(age_ms));
 }
 
-/* A server may claim more slots than it was given. */
+/* A server may report more slots than are configured. */
 static void
 test_claimed_slots_are_bounded(void **state)
 {
@@ -160,16 +161,16 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(
-            test_a_report_fades_towards_our_own_count, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(
-            test_a_report_against_our_own_eyes_is_doubted, set_up, tear_down),
-        cmocka_unit_test_setup_teardown(test_an_honest_report_is_not_doubted,
+            test_report_decays_towards_own_requests, set_up, tear_down),
+        cmocka_unit_test_setup_teardown(test_contradicted_report_lowers_trust,
+                                        set_up, tear_down),
+        cmocka_unit_test_setup_teardown(test_fitting_report_keeps_trust,
                                         set_up, tear_down),
         cmocka_unit_test_setup_teardown(
             test_headroom_falls_to_the_floor_without_reports, set_up,
             tear_down),
         cmocka_unit_test_setup_teardown(
-            test_a_full_server_fades_no_headroom_into_being, set_up,
+            test_decayed_report_of_a_full_server_gives_no_headroom, set_up,
             tear_down),
         cmocka_unit_test_setup_teardown(test_leaving_servers_do_not_count,
                                         set_up, tear_down),
--- a/packages/core/tests/test_objects.c
+++ b/packages/core/tests/test_objects.c
@@ -5,7 +5,7 @@
 
 #include "sas/objects.h"
 
-#define MANY 100000
+#define OBJECTS 100000
 
 static struct sas_server_ref
 make_ref(int slot, uint32_t generation)
@@ -14,7 +14,7 @@
 }
 
 static void
-test_an_object_is_known_where_it_was_answered(void **state)
+test_object_is_cached_where_it_was_answered(void **state)
 {
     (void)state;
     struct sas_objects *objects = SasObjects_New();
@@ -28,10 +28,10 @@
     SasObjects_Free(objects);
 }
 
-/* A server crashes and starts again in its place: it remembers nothing, and
- * work that was taken for short is long. */
+/* A server crashes and starts again in the same slot: its cache is empty, and
+ * requests that were expected to be fast are slow. */
 static void
-test_a_server_that_started_anew_knows_nothing(void **state)
+test_restarted_server_has_nothing_cached(void **state)
 {
     (void)state;
     struct sas_objects *objects = SasObjects_New();
@@ -40,10 +40,10 @@
     SasObjects_Free(objects);
 }
 
-/* A request is on its way that will make the object known; others need not
- * make it known a second time. */
+/* While a request is pending after which the object is cached, others needn't
+ * warm a second server. */
 static void
-test_a_request_that_makes_it_known_is_remembered_until_its_answer(void **state)
+test_pending_first_request_is_kept_until_its_answer(void **state)
 {
     (void)state;
     struct sas_objects *objects = SasObjects_New();
@@ -57,23 +57,23 @@
     SasObjects_Free(objects);
 }
 
-/* Callers that name a new object with each request must not take memory. */
+/* Callers that name a new object in each request must not use up memory. */
 static void
-test_the_table_is_bounded_and_keeps_the_latest(void **state)
+test_table_is_bounded_and_keeps_the_latest(void **state)
 {
     (void)state;
     struct sas_objects *objects = SasObjects_New();
-    for (uint64_t key = 1; key <= MANY; key++) {
+    for (uint64_t key = 1; key <= OBJECTS; key++) {
         SasObjects_NoteAnswered(objects, 0, key * 0x9e3779b97f4a7c15ULL,
                                 make_ref(1, 1));
     }
-    int known = 0;
-    for (uint64_t key = 1; key <= MANY; key++) {
-        known += SasObjects_IsKnown(objects, 0, key * 0x9e3779b97f4a7c15ULL,
-                                    make_ref(1, 1));
+    int cached = 0;
+    for (uint64_t key = 1; key <= OBJECTS; key++) {
+        cached += SasObjects_IsKnown(objects, 0, key * 0x9e3779b97f4a7c15ULL,
+                                     make_ref(1, 1));
     }
-    assert_true(known <= SasObjects_CAPACITY);
-    assert_true(SasObjects_IsKnown(objects, 0, MANY * 0x9e3779b97f4a7c15ULL,
+    assert_true(cached <= SasObjects_CAPACITY);
+    assert_true(SasObjects_IsKnown(objects, 0, OBJECTS * 0x9e3779b97f4a7c15ULL,
                                    make_ref(1, 1)));
     SasObjects_Free(objects);
 }
@@ -82,11 +82,10 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_an_object_is_known_where_it_was_answered),
-        cmocka_unit_test(test_a_server_that_started_anew_knows_nothing),
-        cmocka_unit_test(
-            test_a_request_that_makes_it_known_is_remembered_until_its_answer),
-        cmocka_unit_test(test_the_table_is_bounded_and_keeps_the_latest),
+        cmocka_unit_test(test_object_is_cached_where_it_was_answered),
+        cmocka_unit_test(test_restarted_server_has_nothing_cached),
+        cmocka_unit_test(test_pending_first_request_is_kept_until_its_answer),
+        cmocka_unit_test(test_table_is_bounded_and_keeps_the_latest),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/core/tests/test_quarantine.c
+++ b/packages/core/tests/test_quarantine.c
@@ -16,7 +16,7 @@
 }
 
 static void
-test_names_tell_apart(void **state)
+test_identifiers_differ(void **state)
 {
     (void)state;
     struct sas_fingerprint a =
@@ -32,11 +32,11 @@
                 SasQuarantine_GetCrash("d1", "i1", 1));
 }
 
-/* A popular look-up was on two servers when they went down, and on a third one
- * alone, for reasons of theirs. It is refused; then one that had begun before
- * is answered whole, and all callers are served again. */
+/* A popular request ran on two servers that crashed for other reasons, on the
+ * second one in an isolated run, so it is quarantined. Then a run that began
+ * before completes, and the request must be served again. */
 static void
-test_a_whole_answer_releases_what_was_condemned(void **state)
+test_completed_run_ends_the_quarantine(void **state)
 {
     (void)state;
     struct sas_fingerprint popular = {3, 3};
@@ -50,89 +50,89 @@
     assert_int_equal(SasQuarantine_CountCrashes(&q, popular, 2), 0);
 }
 
-/* One certificate's lookup kills the backend server each time. The inspector
- * sends it again and again. The second crash, alone on its server, is the
- * last; an hour after the last attempt it may try once more. */
+/* A request crashes its server each time, and its caller keeps sending it. The
+ * second crash, in an isolated run, must be the last one; an hour after the
+ * last attempt the request may run once more. */
 static void
-test_second_crash_alone_condemns(void **state)
+test_second_crash_in_isolated_run_quarantines(void **state)
 {
     (void)state;
-    struct sas_fingerprint bad = {1, 1};
-    struct sas_fingerprint good = {2, 2};
+    struct sas_fingerprint poison = {1, 1};
+    struct sas_fingerprint harmless = {2, 2};
     int retry_after_s;
     SasQuarantine_Init(&q);
-    SasQuarantine_Suspect(&q, bad, 100, false, 0);
-    SasQuarantine_Suspect(&q, good, 100, false, 0);
-    SasQuarantine_Suspect(&q, bad, 100, false, 0);
-    assert_int_equal(check(bad, 1), SAS_QUARANTINE_ALONE);
-    assert_true(SasQuarantine_BeginTrial(&q, bad, 5000, 1));
-    assert_int_equal(check(bad, 2), SAS_QUARANTINE_WAIT);
-    assert_false(SasQuarantine_BeginTrial(&q, bad, 5000, 2));
-    SasQuarantine_Suspect(&q, bad, 101, true, 10);
-    assert_int_equal(SasQuarantine_Check(&q, bad, 11, &retry_after_s),
+    SasQuarantine_Suspect(&q, poison, 100, false, 0);
+    SasQuarantine_Suspect(&q, harmless, 100, false, 0);
+    SasQuarantine_Suspect(&q, poison, 100, false, 0);
+    assert_int_equal(check(poison, 1), SAS_QUARANTINE_ALONE);
+    assert_true(SasQuarantine_BeginTrial(&q, poison, 5000, 1));
+    assert_int_equal(check(poison, 2), SAS_QUARANTINE_WAIT);
+    assert_false(SasQuarantine_BeginTrial(&q, poison, 5000, 2));
+    SasQuarantine_Suspect(&q, poison, 101, true, 10);
+    assert_int_equal(SasQuarantine_Check(&q, poison, 11, &retry_after_s),
                      SAS_QUARANTINE_REFUSE);
     assert_int_equal(retry_after_s, 3600);
-    assert_int_equal(SasQuarantine_CountCrashes(&q, bad, 11), 2);
-    assert_int_equal(SasQuarantine_GetCrashedAt(&q, bad, 11), 10);
-    SasQuarantine_Clear(&q, good, 20);
-    assert_int_equal(check(good, 21), SAS_QUARANTINE_ALLOW);
-    int64_t renewed = SasQuarantine_LIFE_MS - 1;
-    assert_int_equal(check(bad, renewed), SAS_QUARANTINE_REFUSE);
-    assert_int_equal(check(bad, renewed + SasQuarantine_LIFE_MS),
+    assert_int_equal(SasQuarantine_CountCrashes(&q, poison, 11), 2);
+    assert_int_equal(SasQuarantine_GetCrashedAt(&q, poison, 11), 10);
+    SasQuarantine_Clear(&q, harmless, 20);
+    assert_int_equal(check(harmless, 21), SAS_QUARANTINE_ALLOW);
+    int64_t renewed_ms = SasQuarantine_LIFE_MS - 1;
+    assert_int_equal(check(poison, renewed_ms), SAS_QUARANTINE_REFUSE);
+    assert_int_equal(check(poison, renewed_ms + SasQuarantine_LIFE_MS),
                      SAS_QUARANTINE_ALLOW);
 }
 
-/* A cut cable ends a request that was alone on its server, twice. The same
- * incarnation answers afterwards: nobody is condemned, also when a peer's
- * word of the loss comes late. */
+/* A network failure resets the connection of an isolated run, twice. The same
+ * incarnation answers afterwards, so the request must not be quarantined, also
+ * when a peer's report of the loss arrives late. */
 static void
-test_reset_does_not_condemn(void **state)
+test_connection_reset_does_not_quarantine(void **state)
 {
     (void)state;
-    struct sas_fingerprint innocent = {3, 3};
-    struct sas_quarantine_entry late;
+    struct sas_fingerprint harmless = {3, 3};
+    struct sas_quarantine_entry late_report;
     SasQuarantine_Init(&q);
-    SasQuarantine_Suspect(&q, innocent, 200, true, 0);
-    SasQuarantine_Suspect(&q, innocent, 201, true, 0);
-    assert_int_equal(check(innocent, 1), SAS_QUARANTINE_REFUSE);
-    assert_true(SasQuarantine_Export(&q, 0, 1, &late));
+    SasQuarantine_Suspect(&q, harmless, 200, true, 0);
+    SasQuarantine_Suspect(&q, harmless, 201, true, 0);
+    assert_int_equal(check(harmless, 1), SAS_QUARANTINE_REFUSE);
+    assert_true(SasQuarantine_Export(&q, 0, 1, &late_report));
     SasQuarantine_Void(&q, 200, 2);
     SasQuarantine_Void(&q, 201, 2);
-    assert_int_equal(check(innocent, 3), SAS_QUARANTINE_ALLOW);
-    SasQuarantine_Merge(&q, &late, 4);
-    assert_int_equal(check(innocent, 5), SAS_QUARANTINE_ALLOW);
+    assert_int_equal(check(harmless, 3), SAS_QUARANTINE_ALLOW);
+    SasQuarantine_Merge(&q, &late_report, 4);
+    assert_int_equal(check(harmless, 5), SAS_QUARANTINE_ALLOW);
     SasQuarantine_Init(&q);
     SasQuarantine_Void(&q, 200, 2);
     SasQuarantine_Void(&q, 201, 2);
-    SasQuarantine_Merge(&q, &late, 4);
-    assert_int_equal(check(innocent, 5), SAS_QUARANTINE_ALLOW);
+    SasQuarantine_Merge(&q, &late_report, 4);
+    assert_int_equal(check(harmless, 5), SAS_QUARANTINE_ALLOW);
 }
 
 static void
-test_full_table_keeps_the_dangerous(void **state)
+test_full_table_keeps_the_quarantined(void **state)
 {
     (void)state;
-    struct sas_fingerprint bad = {9, 9};
+    struct sas_fingerprint poison = {9, 9};
     SasQuarantine_Init(&q);
-    SasQuarantine_Suspect(&q, bad, 1, false, 0);
-    SasQuarantine_Suspect(&q, bad, 2, true, 0);
+    SasQuarantine_Suspect(&q, poison, 1, false, 0);
+    SasQuarantine_Suspect(&q, poison, 2, true, 0);
     for (uint64_t i = 0; i < 3 * SasQuarantine_MAX_ENTRIES; i++) {
         struct sas_fingerprint other = {10, i};
         SasQuarantine_Suspect(&q, other, 3, false, 1);
     }
     assert_int_equal(q.count, SasQuarantine_MAX_ENTRIES);
-    assert_int_equal(check(bad, 2), SAS_QUARANTINE_REFUSE);
+    assert_int_equal(check(poison, 2), SAS_QUARANTINE_REFUSE);
 }
 
 int
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_names_tell_apart),
-        cmocka_unit_test(test_second_crash_alone_condemns),
-        cmocka_unit_test(test_a_whole_answer_releases_what_was_condemned),
-        cmocka_unit_test(test_reset_does_not_condemn),
-        cmocka_unit_test(test_full_table_keeps_the_dangerous),
+        cmocka_unit_test(test_identifiers_differ),
+        cmocka_unit_test(test_second_crash_in_isolated_run_quarantines),
+        cmocka_unit_test(test_completed_run_ends_the_quarantine),
+        cmocka_unit_test(test_connection_reset_does_not_quarantine),
+        cmocka_unit_test(test_full_table_keeps_the_quarantined),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
