--- a/packages/core/include/sas/membership.h
+++ b/packages/core/include/sas/membership.h
@@ -1,28 +1,29 @@
-/* membership - what an entry VM knows of all seats: gossip and failure
- * detection decisions, and which backend servers are leaving.
+/* membership - failure detection and gossip decisions of an entry VM, and
+ * which backend servers are leaving.
  *
- * Each seat has an incarnation (rises with each start of its process) and a
- * heartbeat (rises while that process lives). News of a seat is merged like
- * this, so that order and repetition make no difference: the higher
- * incarnation replaces all; within one incarnation the higher heartbeat
- * counts with its age, at the same heartbeat the greater age, `leaving`
- * sticks, and the highest config version and doubt are kept. An age counts
- * from when that heartbeat was sent; relays add to it and never renew it, so
- * the news of a dead process can't stay young by going round in circles.
+ * The members of the table are entry VMs. Each has an incarnation, which rises
+ * with each start of its process, and a heartbeat, which rises while that
+ * process runs. Updates of a member are merged so that order and repetition
+ * make no difference: a higher incarnation replaces everything; within one
+ * incarnation a higher heartbeat replaces heartbeat and age, at the same
+ * heartbeat the greater age counts; `leaving` sticks, and the highest config
+ * version and suspicion are kept. An age counts from when the heartbeat was
+ * sent. Relays add to it and never reset it, so updates of a dead process
+ * don't look recent however often they are relayed.
  *
- * `doubt` is the heartbeat that a seat should have reached when somebody got
- * no answer from it: what was known, and one for each interval since. News
- * up to that heartbeat does not clear the doubt, however late it arrives;
- * the seat itself refutes it by a higher heartbeat. Doubt makes a failure
- * known everywhere within seconds also where the table is too long to be
- * sent whole.
+ * A suspicion is the heartbeat that a member should have reached when pings to
+ * it timed out: the known one, plus one for each interval since. Updates up to
+ * that heartbeat don't clear it, however late they arrive; the member itself
+ * refutes it with a higher heartbeat, and a node that gets a message from the
+ * member ignores it. Suspicions make a failure known at all members within
+ * seconds, also where the table is too large for one message.
  *
- * While SasMembership_IsCutOff, ages tell nothing about the others: this
- * node is the one that hears nobody, and it raises no doubt.
+ * While this node is partitioned (SasMembership_IsCutOff), the ages say
+ * nothing about the other members, and it raises no suspicion.
  *
  * Times are milliseconds of one monotonic clock, passed in. Functions that
- * change something return a set of enum sas_membership_change; anything but
- * 0 is worth telling others at once.
+ * change something return a set of enum sas_membership_change; any change is
+ * worth an extra gossip round.
  */
 #ifndef SAS_MEMBERSHIP_H
 #define SAS_MEMBERSHIP_H
@@ -31,137 +32,142 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define SasMembership_DIGEST_SEATS 64 /* news of seats in one message */
-#define SasMembership_SILENCE_LIMIT 2 /* unanswered exchanges that doubt */
+#define SasMembership_DIGEST_SEATS 64 /* updates in one message */
+#define SasMembership_SILENCE_LIMIT 2 /* timeouts that raise a suspicion */
 
 enum sas_member_state {
-    SAS_MEMBER_UNKNOWN, /* never heard of */
+    SAS_MEMBER_UNKNOWN, /* no update of it yet */
     SAS_MEMBER_LIVE,
-    SAS_MEMBER_SUSPECT, /* old news or unanswered; may be alive */
-    SAS_MEMBER_GONE,    /* nothing for so long that nobody counts on it */
+    SAS_MEMBER_SUSPECT, /* old updates or pings timed out; may be alive */
+    SAS_MEMBER_GONE,    /* dead: too old, or a suspicion was not refuted */
     SAS_MEMBER_LEAVING
 };
 
 enum sas_membership_change {
-    SAS_CHANGE_MEMBER = 1, /* new incarnation, leaving or doubt */
+    SAS_CHANGE_MEMBER = 1, /* new incarnation, leaving or suspicion */
     SAS_CHANGE_VERSION = 2 /* the highest config version known rose */
 };
 
-/* News of one seat as sent and received. */
+/* Update of one member, as sent and received. */
 struct sas_member_news {
     int seat;
     bool leaving;
     uint64_t incarnation;
     uint64_t config_version;
     uint32_t heartbeat;
-    uint32_t doubt; /* 0 is none */
-    int64_t age_ms;
+    uint32_t doubt; /* suspicion; 0: none */
+    int64_t age_ms; /* of the heartbeat */
 };
 
 struct sas_member {
-    uint64_t incarnation; /* 0 is never heard of */
+    uint64_t incarnation; /* 0: unknown */
     uint64_t config_version;
-    int64_t heard_ms;  /* when its heartbeat was sent */
-    int64_t direct_ms; /* last message from itself to us */
-    int64_t doubt_ms;  /* when the doubt became known here */
+    int64_t heartbeat_ms; /* when its heartbeat was sent */
+    int64_t direct_ms; /* last message from the member itself to this node */
+    int64_t doubt_ms;  /* when the suspicion became known here */
     uint32_t heartbeat;
-    uint32_t doubt;
+    uint32_t doubt; /* suspicion; 0: none */
     bool leaving;
-    uint8_t sends_left; /* how often a change is still to be sent */
-    uint8_t silences;   /* unanswered exchanges in a row */
+    uint8_t sends_left; /* messages in which a change is still to be sent */
+    uint8_t timeouts;   /* pings without an answer, in a row */
 };
 
-/* Times that follow from the number of seats. */
+/* Times that depend on the number of members. */
 struct sas_membership_times {
-    int64_t interval_ms; /* between rounds of gossip */
-    int fanout;          /* exchanges started in a round */
-    int64_t suspect_ms;  /* age at which a seat is doubted */
-    int64_t gone_ms;
-    int64_t refute_ms;  /* a doubt this old without a new heartbeat: gone */
-    int64_t cut_off_ms; /* nobody heard for so long: this node is cut off */
+    int64_t interval_ms;  /* between rounds of gossip */
+    int fanout;           /* members pinged in a round */
+    int64_t suspect_ms;   /* age from which a member is suspected */
+    int64_t gone_ms;      /* age from which it is dead */
+    int64_t refute_ms;    /* age of a suspicion from which it is dead */
+    int64_t partition_ms; /* no message for this time: partitioned */
 };
 
 struct sas_membership {
-    struct sas_member *members; /* by seat */
+    struct sas_member *members; /* by member id */
     int count;
-    int own;
-    int64_t direct_ms; /* last message from anybody */
+    int own;           /* member id of this node */
+    int64_t direct_ms; /* last message from any member itself */
     uint64_t highest_version;
-    uint64_t replaced_by; /* another process has our seat: its incarnation */
+    uint64_t replaced_by; /* incarnation of a newer process of this member */
     struct sas_membership_times times;
 };
 
-/* A table of seat_count seats; Close releases it. */
-void SasMembership_Init(struct sas_membership *table, int seat_count, int own,
-                        uint64_t incarnation, int64_t now_ms);
+/* A table of member_count members; Close releases it. */
+void SasMembership_Init(struct sas_membership *table, int member_count,
+                        int own, uint64_t incarnation, int64_t now_ms);
 void SasMembership_Close(struct sas_membership *table);
 
-/* More seats, unknown so far, and the times that go with them. */
-void SasMembership_Grow(struct sas_membership *table, int seat_count);
+/* Adds members, unknown so far, and sets the times for the new number. */
+void SasMembership_Grow(struct sas_membership *table, int member_count);
 
-/* The times for a number of seats and an interval, 0 for the usual one; Init
- * sets table->times so. */
-void SasMembership_GetTimes(int seat_count, int64_t interval_ms,
+/* The times for a number of members and an interval; 0: the default interval,
+ * which Init uses for table->times. */
+void SasMembership_GetTimes(int member_count, int64_t interval_ms,
                             struct sas_membership_times *times);
 
-/* The own seat: a heartbeat each round, the version in force, leaving. */
+/* The own member: a heartbeat each round, the config version in force,
+ * leaving. */
 void SasMembership_Beat(struct sas_membership *table, int64_t now_ms);
 int SasMembership_SetVersion(struct sas_membership *table, uint64_t version);
 int SasMembership_SetLeaving(struct sas_membership *table);
 
-/* Goes on as a newer process than the one that replaced_by tells of, where
- * no other can have the seat: the news is of an earlier run, and this one's
- * clock has gone back. The new incarnation, or 0 where none is needed. */
+/* Raises the own incarnation above replaced_by. For a member that no other
+ * process can be: the higher incarnation is of an earlier run, since when the
+ * clock went back. Returns the new incarnation, 0 if none is needed. */
 uint64_t SasMembership_Renew(struct sas_membership *table, int64_t now_ms);
 
-/* News from elsewhere, direct or relayed. */
+/* Merges an update, from the member itself or relayed. */
 int SasMembership_Merge(struct sas_membership *table,
-                        const struct sas_member_news *news, int64_t now_ms);
+                        const struct sas_member_news *update, int64_t now_ms);
 
-/* A verified message came from the seat itself. */
-void SasMembership_NoteDirect(struct sas_membership *table, int seat,
+/* An authenticated message arrived from the member itself. */
+void SasMembership_NoteDirect(struct sas_membership *table, int member_id,
                               uint64_t incarnation, int64_t now_ms);
 
-/* An exchange with the seat got no answer in time. */
-int SasMembership_NoteSilence(struct sas_membership *table, int seat,
+/* A ping to the member timed out. */
+int SasMembership_NoteSilence(struct sas_membership *table, int member_id,
                               int64_t now_ms);
 
-/* One exchange failed, and a second one would settle it: it is worth asking
- * that seat again at once. Among many seats chance alone would hardly ever
- * pick the same one twice. */
-bool SasMembership_MayRetry(const struct sas_membership *table, int seat);
+/* Whether to ping the member again at once: one timeout so far, a second one
+ * raises the suspicion. Among many members, random picks would hardly ever
+ * choose the same one twice in a row. */
+bool SasMembership_MayRetry(const struct sas_membership *table, int member_id);
 
-/* What is known. GetAge is the age of the newest sign of life. */
+/* State of a member. GetAge: time since its newest heartbeat or direct
+ * message; 0 for the own member, a day for an unknown one. */
 enum sas_member_state
-SasMembership_GetState(const struct sas_membership *table, int seat,
+SasMembership_GetState(const struct sas_membership *table, int member_id,
                        int64_t now_ms);
-int64_t SasMembership_GetAge(const struct sas_membership *table, int seat,
+int64_t SasMembership_GetAge(const struct sas_membership *table, int member_id,
                              int64_t now_ms);
+
+/* Whether this node is partitioned: no message from any member for
+ * times.partition_ms. */
 bool SasMembership_IsCutOff(const struct sas_membership *table,
                             int64_t now_ms);
+
 const char *SasMembership_GetStateName(enum sas_member_state state);
 
-/* Up to `max` different seats for the next exchanges, at random. A seat that
- * is gone gets a small share, so that halves of a cut find back together. */
+/* Up to `max` different members to ping next, at random. A dead member is
+ * picked now and then, so that the sides of a healed partition merge again. */
 int SasMembership_PickPeers(const struct sas_membership *table, GRand *random,
-                            int64_t now_ms, int *seats, int max);
+                            int64_t now_ms, int *member_ids, int max);
 
-/* Up to `max` news for a message: the own seat, recent changes that were not
- * sent often enough yet, then a random part of the rest. */
+/* Up to `max` updates for a message: the own member, then recent changes that
+ * were not sent often enough yet, then others from a random start on. */
 int SasMembership_FillDigest(struct sas_membership *table, GRand *random,
-                             int64_t now_ms, struct sas_member_news *news,
+                             int64_t now_ms, struct sas_member_news *updates,
                              int max);
 
-/* What is known of one seat, for a message about it alone. */
-void SasMembership_GetNews(const struct sas_membership *table, int seat,
-                           int64_t now_ms, struct sas_member_news *news);
+/* The update of one member, for a message about it alone. */
+void SasMembership_GetNews(const struct sas_membership *table, int member_id,
+                           int64_t now_ms, struct sas_member_news *update);
 
-/* Leaving backend servers. Three sources, any of which suffices. What a
- * source said sticks for that incarnation of the server, and a new
- * incarnation begins without it; the sheet and the platform's list speak of
- * whatever incarnation is running, and have to be noted again at each
- * evaluation. Incarnations are hashes without order: the report measured
- * later is the newer one. */
+/* Leaving backend servers. There are three sources; one suffices. A source's
+ * mark sticks to that incarnation of the server, a new incarnation starts
+ * without marks. The sheet and the platform's list mean the incarnation that
+ * runs, so they have to be noted again at each evaluation. Incarnations are
+ * hashes without order: the one with the report measured later is newer. */
 enum sas_departure_source {
     SAS_DEPARTURE_SHEET = 1,
     SAS_DEPARTURE_PLATFORM = 2,
@@ -169,9 +175,9 @@
 };
 
 struct sas_departure {
-    uint64_t incarnation; /* 0 is not known yet */
-    int64_t measured_ms;
-    unsigned sources; /* set of enum sas_departure_source */
+    uint64_t incarnation; /* 0: unknown */
+    int64_t measured_ms;  /* of its newest report */
+    unsigned sources;     /* set of enum sas_departure_source */
 };
 
 struct sas_departure_table {
@@ -182,13 +188,13 @@
 void SasDeparture_Init(struct sas_departure_table *table, int backend_count);
 void SasDeparture_Close(struct sas_departure_table *table);
 
-/* The sheet or the platform's list names the backend server. True if that
- * was not known of this incarnation. */
+/* The sheet or the platform's list names the backend server. True if this
+ * incarnation was not known to be leaving. */
 bool SasDeparture_NoteListed(struct sas_departure_table *table, int backend,
                              enum sas_departure_source source);
 
-/* A report of the server itself, own or from a peer. True if it is news that
- * the server is leaving. */
+/* A report of the server itself, received here or by a peer. True if it makes
+ * the server known to be leaving. */
 bool SasDeparture_NoteReport(struct sas_departure_table *table, int backend,
                              uint64_t incarnation, bool leaving,
                              int64_t measured_ms);
--- a/packages/core/src/membership.c
+++ b/packages/core/src/membership.c
@@ -3,65 +3,68 @@
 #include <math.h>
 #include <string.h>
 
-/* Rounds of gossip by number of seats. */
-#define SMALL_SEATS 16
-#define MIDDLE_SEATS 128
+/* Interval of gossip rounds by number of members. */
+#define SMALL_COUNT 16
+#define MIDDLE_COUNT 128
 #define SMALL_INTERVAL_MS 250
 #define MIDDLE_INTERVAL_MS 500
 #define LARGE_INTERVAL_MS 1000
-#define FANOUT 1 /* a second exchange a round costs more than it gives */
+#define FANOUT 1 /* a second ping per round costs more than it gains */
 
-/* A seat is heard of about once in (seats / news per message) rounds, and
- * the news takes log2(seats) relays. The factor keeps the oldest age seen
- * among all pairs of 1,500 seats below (docs/notes-peer.md). */
+/* Rounds until a member is suspected. An update of a member arrives about once
+ * in (members / updates per message) rounds and takes log2(members) relays.
+ * With the factor, the oldest age seen among all pairs of 1,500 members stays
+ * below that (docs/notes-peer.md). */
 #define SUSPECT_ROUNDS 6
 #define TAIL_FACTOR 1.5
-#define GONE_FACTOR 2
+#define DEAD_FACTOR 2
 #define REFUTE_ROUNDS 12
-#define CUT_OFF_ROUNDS 12
-#define MIN_GONE_ROUNDS 32
+#define PARTITION_ROUNDS 12
+#define MIN_DEAD_ROUNDS 32
 
 #define CHANGES_PERCENT 75 /* of a message, at most */
 
-/* How often a change is sent: this times log2(seats). */
+/* A change is sent this times log2(members) times. */
 #define SENDS_FACTOR 3
-#define GONE_PICK_SHARE 8 /* one pick in so many goes to a seat gone */
+#define DEAD_PICK_INTERVAL 8 /* one round in 8 pings a dead member */
 #define MAX_AGE_MS (1000LL * 3600 * 24)
-#define MAX_MISSED_BEATS 400000 /* a day of small intervals */
+#define MAX_MISSED_HEARTBEATS 400000 /* a day of the smallest intervals */
 
-static int64_t get_interval(int seat_count);
-static bool is_seat(const struct sas_membership *table, int seat);
+static int64_t get_interval(int member_count);
+static bool is_member(const struct sas_membership *table, int member_id);
 static int merge_own(struct sas_membership *table,
-                     const struct sas_member_news *news, int64_t now_ms);
+                     const struct sas_member_news *update, int64_t now_ms);
 static void merge_heartbeat(struct sas_member *member, uint32_t heartbeat,
-                            int64_t heard_ms);
-static int raise_highest(struct sas_membership *table, uint64_t version);
-static uint32_t bound_doubt(const struct sas_member_news *news);
+                            int64_t heartbeat_ms);
+static int raise_highest_version(struct sas_membership *table,
+                                 uint64_t version);
+static uint32_t bound_suspicion(const struct sas_member_news *update);
 static uint8_t get_sends(const struct sas_membership *table);
-static bool is_doubted(const struct sas_member *member);
-static void shuffle_part(GRand *random, int *seats, int count, int part);
-static void fill_news(const struct sas_membership *table, int seat,
-                      int64_t now_ms, struct sas_member_news *news);
+static bool is_suspected(const struct sas_member *member);
+static void shuffle_front(GRand *random, int *member_ids, int count,
+                          int picked);
+static void fill_update(const struct sas_membership *table, int member_id,
+                        int64_t now_ms, struct sas_member_news *update);
 static int fill_changes(struct sas_membership *table, GRand *random,
-                        int64_t now_ms, struct sas_member_news *news, int max,
-                        bool *taken);
+                        int64_t now_ms, struct sas_member_news *updates,
+                        int max, bool *taken);
 
 /* Table */
 
 void
-SasMembership_Init(struct sas_membership *table, int seat_count, int own,
+SasMembership_Init(struct sas_membership *table, int member_count, int own,
                    uint64_t incarnation, int64_t now_ms)
 {
     memset(table, 0, sizeof(*table));
-    table->members = g_new0(struct sas_member, seat_count);
-    table->count = seat_count;
+    table->members = g_new0(struct sas_member, member_count);
+    table->count = member_count;
     table->own = own;
     table->direct_ms = now_ms;
-    SasMembership_GetTimes(seat_count, 0, &table->times);
+    SasMembership_GetTimes(member_count, 0, &table->times);
     struct sas_member *self = &table->members[own];
     self->incarnation = incarnation;
     self->heartbeat = 1;
-    self->heard_ms = now_ms;
+    self->heartbeat_ms = now_ms;
     self->direct_ms = now_ms;
     self->sends_left = get_sends(table);
 }
@@ -74,47 +77,47 @@
 }
 
 void
-SasMembership_Grow(struct sas_membership *table, int seat_count)
+SasMembership_Grow(struct sas_membership *table, int member_count)
 {
-    if (seat_count <= table->count) {
+    if (member_count <= table->count) {
         return;
     }
     table->members =
-        g_renew(struct sas_member, table->members, (gsize)seat_count);
+        g_renew(struct sas_member, table->members, (gsize)member_count);
     memset(&table->members[table->count], 0,
-           (size_t)(seat_count - table->count) * sizeof(*table->members));
-    table->count = seat_count;
-    SasMembership_GetTimes(seat_count, 0, &table->times);
+           (size_t)(member_count - table->count) * sizeof(*table->members));
+    table->count = member_count;
+    SasMembership_GetTimes(member_count, 0, &table->times);
 }
 
 void
-SasMembership_GetTimes(int seat_count, int64_t interval_ms,
+SasMembership_GetTimes(int member_count, int64_t interval_ms,
                        struct sas_membership_times *times)
 {
     if (interval_ms <= 0) {
-        interval_ms = get_interval(seat_count);
+        interval_ms = get_interval(member_count);
     }
-    double seats = MAX(seat_count, 2);
-    double parts = ceil(seats / SasMembership_DIGEST_SEATS);
+    double members = MAX(member_count, 2);
+    double messages = ceil(members / SasMembership_DIGEST_SEATS);
     int64_t rounds =
-        (int64_t)(SUSPECT_ROUNDS + TAIL_FACTOR * parts * log2(seats));
-    int64_t gone_rounds = MAX(GONE_FACTOR * rounds, MIN_GONE_ROUNDS);
+        (int64_t)(SUSPECT_ROUNDS + TAIL_FACTOR * messages * log2(members));
+    int64_t dead_rounds = MAX(DEAD_FACTOR * rounds, MIN_DEAD_ROUNDS);
     times->interval_ms = interval_ms;
     times->fanout = FANOUT;
     times->suspect_ms = rounds * interval_ms;
-    times->gone_ms = gone_rounds * interval_ms;
+    times->gone_ms = dead_rounds * interval_ms;
     times->refute_ms = REFUTE_ROUNDS * interval_ms;
-    times->cut_off_ms = CUT_OFF_ROUNDS * interval_ms;
+    times->partition_ms = PARTITION_ROUNDS * interval_ms;
 }
 
-/* Own seat */
+/* Own member */
 
 void
 SasMembership_Beat(struct sas_membership *table, int64_t now_ms)
 {
     struct sas_member *self = &table->members[table->own];
     self->heartbeat++;
-    self->heard_ms = now_ms;
+    self->heartbeat_ms = now_ms;
     self->direct_ms = now_ms;
 }
 
@@ -123,7 +126,7 @@
 {
     struct sas_member *self = &table->members[table->own];
     self->config_version = MAX(self->config_version, version);
-    return raise_highest(table, version);
+    return raise_highest_version(table, version);
 }
 
 int
@@ -151,43 +154,44 @@
     return self->incarnation;
 }
 
-/* News */
+/* Updates */
 
 int
 SasMembership_Merge(struct sas_membership *table,
-                    const struct sas_member_news *news, int64_t now_ms)
+                    const struct sas_member_news *update, int64_t now_ms)
 {
-    if (!is_seat(table, news->seat) || news->incarnation == 0) {
+    if (!is_member(table, update->seat) || update->incarnation == 0) {
         return 0;
     }
-    if (news->seat == table->own) {
-        return merge_own(table, news, now_ms);
+    if (update->seat == table->own) {
+        return merge_own(table, update, now_ms);
     }
-    struct sas_member *member = &table->members[news->seat];
-    int changes = raise_highest(table, news->config_version);
-    if (news->incarnation < member->incarnation) {
+    struct sas_member *member = &table->members[update->seat];
+    int changes = raise_highest_version(table, update->config_version);
+    if (update->incarnation < member->incarnation) {
         return changes;
     }
-    int64_t heard_ms = now_ms - CLAMP(news->age_ms, 0, MAX_AGE_MS);
-    if (news->incarnation > member->incarnation) {
+    int64_t heartbeat_ms = now_ms - CLAMP(update->age_ms, 0, MAX_AGE_MS);
+    if (update->incarnation > member->incarnation) {
         memset(member, 0, sizeof(*member));
-        member->incarnation = news->incarnation;
-        member->heartbeat = news->heartbeat;
-        member->heard_ms = heard_ms;
+        member->incarnation = update->incarnation;
+        member->heartbeat = update->heartbeat;
+        member->heartbeat_ms = heartbeat_ms;
         changes |= SAS_CHANGE_MEMBER;
     }
-    merge_heartbeat(member, news->heartbeat, heard_ms);
-    if (news->leaving && !member->leaving) {
+    merge_heartbeat(member, update->heartbeat, heartbeat_ms);
+    if (update->leaving && !member->leaving) {
         member->leaving = true;
         changes |= SAS_CHANGE_MEMBER;
     }
-    uint32_t doubt = bound_doubt(news);
-    if (doubt > member->doubt) {
-        member->doubt = doubt;
+    uint32_t suspicion = bound_suspicion(update);
+    if (suspicion > member->doubt) {
+        member->doubt = suspicion;
         member->doubt_ms = now_ms;
-        changes |= is_doubted(member) ? SAS_CHANGE_MEMBER : 0;
+        changes |= is_suspected(member) ? SAS_CHANGE_MEMBER : 0;
     }
-    member->config_version = MAX(member->config_version, news->config_version);
+    member->config_version =
+        MAX(member->config_version, update->config_version);
     if ((changes & SAS_CHANGE_MEMBER) != 0) {
         member->sends_left = get_sends(table);
     }
@@ -195,107 +199,111 @@
 }
 
 void
-SasMembership_NoteDirect(struct sas_membership *table, int seat,
+SasMembership_NoteDirect(struct sas_membership *table, int member_id,
                          uint64_t incarnation, int64_t now_ms)
 {
-    if (!is_seat(table, seat) || seat == table->own) {
+    if (!is_member(table, member_id) || member_id == table->own) {
         return;
     }
     table->direct_ms = now_ms;
-    struct sas_member *member = &table->members[seat];
+    struct sas_member *member = &table->members[member_id];
     if (member->incarnation == incarnation) {
         member->direct_ms = now_ms;
-        member->silences = 0;
+        member->timeouts = 0;
     }
 }
 
-/* Guards against a node that is cut off and takes all others for dead: when
- * the cut heals, its doubts would spread and every seat would have to refute
- * them. While nobody is heard, silence tells only about this node. */
+/* Guards against a partitioned node that takes all others for dead: when the
+ * partition heals, its suspicions would spread and each member would have to
+ * refute them. While no message arrives, a timeout says nothing of a member.
+ */
 int
-SasMembership_NoteSilence(struct sas_membership *table, int seat,
+SasMembership_NoteSilence(struct sas_membership *table, int member_id,
                           int64_t now_ms)
 {
-    if (!is_seat(table, seat) || seat == table->own) {
+    if (!is_member(table, member_id) || member_id == table->own) {
         return 0;
     }
-    struct sas_member *member = &table->members[seat];
-    if (member->silences < SasMembership_SILENCE_LIMIT) {
-        member->silences++;
+    struct sas_member *member = &table->members[member_id];
+    if (member->timeouts < SasMembership_SILENCE_LIMIT) {
+        member->timeouts++;
     }
-    if (member->incarnation == 0 || is_doubted(member) ||
-        member->silences < SasMembership_SILENCE_LIMIT ||
+    if (member->incarnation == 0 || is_suspected(member) ||
+        member->timeouts < SasMembership_SILENCE_LIMIT ||
         SasMembership_IsCutOff(table, now_ms)) {
         return 0;
     }
-    int64_t missed_beats =
-        (now_ms - member->heard_ms) / table->times.interval_ms;
-    member->doubt =
-        member->heartbeat + (uint32_t)CLAMP(missed_beats, 0, MAX_MISSED_BEATS);
+    int64_t missed_heartbeats =
+        (now_ms - member->heartbeat_ms) / table->times.interval_ms;
+    member->doubt = member->heartbeat + (uint32_t)CLAMP(missed_heartbeats, 0,
+                                                        MAX_MISSED_HEARTBEATS);
     member->doubt_ms = now_ms;
     member->sends_left = get_sends(table);
     return SAS_CHANGE_MEMBER;
 }
 
 bool
-SasMembership_MayRetry(const struct sas_membership *table, int seat)
+SasMembership_MayRetry(const struct sas_membership *table, int member_id)
 {
-    if (!is_seat(table, seat) || seat == table->own) {
+    if (!is_member(table, member_id) || member_id == table->own) {
         return false;
     }
-    const struct sas_member *member = &table->members[seat];
-    return member->incarnation != 0 && !is_doubted(member) &&
-           member->silences > 0 &&
-           member->silences < SasMembership_SILENCE_LIMIT;
+    const struct sas_member *member = &table->members[member_id];
+    return member->incarnation != 0 && !is_suspected(member) &&
+           member->timeouts > 0 &&
+           member->timeouts < SasMembership_SILENCE_LIMIT;
 }
 
-/* What is known */
+/* State of members */
 
 enum sas_member_state
-SasMembership_GetState(const struct sas_membership *table, int seat,
+SasMembership_GetState(const struct sas_membership *table, int member_id,
                        int64_t now_ms)
 {
-    if (!is_seat(table, seat) || table->members[seat].incarnation == 0) {
+    if (!is_member(table, member_id) ||
+        table->members[member_id].incarnation == 0) {
         return SAS_MEMBER_UNKNOWN;
     }
-    const struct sas_member *member = &table->members[seat];
-    if (seat == table->own) {
+    const struct sas_member *member = &table->members[member_id];
+    if (member_id == table->own) {
         return member->leaving ? SAS_MEMBER_LEAVING : SAS_MEMBER_LIVE;
     }
-    int64_t age_ms = SasMembership_GetAge(table, seat, now_ms);
-    bool doubted = is_doubted(member) && member->direct_ms <= member->doubt_ms;
+    int64_t age_ms = SasMembership_GetAge(table, member_id, now_ms);
+    bool suspected =
+        is_suspected(member) && member->direct_ms <= member->doubt_ms;
     if (age_ms >= table->times.gone_ms ||
-        (doubted && now_ms - member->doubt_ms >= table->times.refute_ms)) {
+        (suspected && now_ms - member->doubt_ms >= table->times.refute_ms)) {
         return SAS_MEMBER_GONE;
     }
     if (member->leaving) {
         return SAS_MEMBER_LEAVING;
     }
-    if (doubted || age_ms >= table->times.suspect_ms) {
+    if (suspected || age_ms >= table->times.suspect_ms) {
         return SAS_MEMBER_SUSPECT;
     }
     return SAS_MEMBER_LIVE;
 }
 
 int64_t
-SasMembership_GetAge(const struct sas_membership *table, int seat,
+SasMembership_GetAge(const struct sas_membership *table, int member_id,
                      int64_t now_ms)
 {
-    if (!is_seat(table, seat) || table->members[seat].incarnation == 0) {
+    if (!is_member(table, member_id) ||
+        table->members[member_id].incarnation == 0) {
         return MAX_AGE_MS;
     }
-    if (seat == table->own) {
+    if (member_id == table->own) {
         return 0;
     }
-    const struct sas_member *member = &table->members[seat];
-    return now_ms - MAX(member->heard_ms, member->direct_ms);
+    const struct sas_member *member = &table->members[member_id];
+    return now_ms - MAX(member->heartbeat_ms, member->direct_ms);
 }
 
 bool
 SasMembership_IsCutOff(const struct sas_membership *table, int64_t now_ms)
 {
     return table->count > 1 &&
-           now_ms - table->direct_ms >= table->times.cut_off_ms;
+           now_ms - table->direct_ms >= table->times.partition_ms;
 }
 
 const char *
@@ -320,63 +328,65 @@
 
 int
 SasMembership_PickPeers(const struct sas_membership *table, GRand *random,
-                        int64_t now_ms, int *seats, int max)
+                        int64_t now_ms, int *member_ids, int max)
 {
     g_autofree int *present = g_new(int, table->count);
-    g_autofree int *gone = g_new(int, table->count);
+    g_autofree int *dead = g_new(int, table->count);
     int present_count = 0;
-    int gone_count = 0;
-    for (int seat = 0; seat < table->count; seat++) {
-        if (seat == table->own) {
+    int dead_count = 0;
+    for (int member_id = 0; member_id < table->count; member_id++) {
+        if (member_id == table->own) {
             continue;
         }
-        if (SasMembership_GetState(table, seat, now_ms) == SAS_MEMBER_GONE) {
-            gone[gone_count++] = seat;
+        if (SasMembership_GetState(table, member_id, now_ms) ==
+            SAS_MEMBER_GONE) {
+            dead[dead_count++] = member_id;
         }
         else {
-            present[present_count++] = seat;
+            present[present_count++] = member_id;
         }
     }
     int picked = MIN(max, present_count);
-    shuffle_part(random, present, present_count, picked);
-    memcpy(seats, present, (size_t)picked * sizeof(*seats));
-    bool pick_gone =
-        gone_count > 0 && max > 0 &&
-        (picked < max || g_rand_int_range(random, 0, GONE_PICK_SHARE) == 0);
-    if (pick_gone) {
-        int place = picked < max ? picked++ : max - 1;
-        seats[place] = gone[g_rand_int_range(random, 0, gone_count)];
+    shuffle_front(random, present, present_count, picked);
+    memcpy(member_ids, present, (size_t)picked * sizeof(*member_ids));
+    bool pick_dead =
+        dead_count > 0 && max > 0 &&
+        (picked < max || g_rand_int_range(random, 0, DEAD_PICK_INTERVAL) == 0);
+    if (pick_dead) {
+        int index = picked < max ? picked++ : max - 1;
+        member_ids[index] = dead[g_rand_int_range(random, 0, dead_count)];
     }
     return picked;
 }
 
 int
 SasMembership_FillDigest(struct sas_membership *table, GRand *random,
-                         int64_t now_ms, struct sas_member_news *news, int max)
+                         int64_t now_ms, struct sas_member_news *updates,
+                         int max)
 {
     if (max <= 0) {
         return 0;
     }
     g_autofree bool *taken = g_new0(bool, table->count);
-    fill_news(table, table->own, now_ms, &news[0]);
+    fill_update(table, table->own, now_ms, &updates[0]);
     taken[table->own] = true;
-    int count = 1 + fill_changes(table, random, now_ms, &news[1],
+    int count = 1 + fill_changes(table, random, now_ms, &updates[1],
                                  max * CHANGES_PERCENT / 100, taken);
-    int start = g_rand_int_range(random, 0, table->count);
+    int first = g_rand_int_range(random, 0, table->count);
     for (int i = 0; i < table->count && count < max; i++) {
-        int seat = (start + i) % table->count;
-        if (!taken[seat] && table->members[seat].incarnation != 0) {
-            fill_news(table, seat, now_ms, &news[count++]);
+        int member_id = (first + i) % table->count;
+        if (!taken[member_id] && table->members[member_id].incarnation != 0) {
+            fill_update(table, member_id, now_ms, &updates[count++]);
         }
     }
     return count;
 }
 
 void
-SasMembership_GetNews(const struct sas_membership *table, int seat,
-                      int64_t now_ms, struct sas_member_news *news)
+SasMembership_GetNews(const struct sas_membership *table, int member_id,
+                      int64_t now_ms, struct sas_member_news *update)
 {
-    fill_news(table, seat, now_ms, news);
+    fill_update(table, member_id, now_ms, update);
 }
 
 /* Leaving backend servers */
@@ -444,61 +454,63 @@
 /* Helpers */
 
 static int64_t
-get_interval(int seat_count)
+get_interval(int member_count)
 {
-    if (seat_count <= SMALL_SEATS) {
+    if (member_count <= SMALL_COUNT) {
         return SMALL_INTERVAL_MS;
     }
-    return seat_count <= MIDDLE_SEATS ? MIDDLE_INTERVAL_MS : LARGE_INTERVAL_MS;
+    return member_count <= MIDDLE_COUNT ? MIDDLE_INTERVAL_MS
+                                        : LARGE_INTERVAL_MS;
 }
 
 static bool
-is_seat(const struct sas_membership *table, int seat)
+is_member(const struct sas_membership *table, int member_id)
 {
-    return seat >= 0 && seat < table->count;
+    return member_id >= 0 && member_id < table->count;
 }
 
-/* News of the own seat: a doubt is refuted by a higher heartbeat. A higher
- * incarnation means that another process was started for this seat while
- * this one was paused or cut off; the owner has to stop. */
+/* Update of the own member: refutes a suspicion by a higher heartbeat. A
+ * higher incarnation means that another process was started for this member
+ * while this one was paused or partitioned; the owner has to stop. */
 static int
-merge_own(struct sas_membership *table, const struct sas_member_news *news,
+merge_own(struct sas_membership *table, const struct sas_member_news *update,
           int64_t now_ms)
 {
     struct sas_member *self = &table->members[table->own];
-    if (news->incarnation > self->incarnation) {
-        table->replaced_by = MAX(table->replaced_by, news->incarnation);
+    if (update->incarnation > self->incarnation) {
+        table->replaced_by = MAX(table->replaced_by, update->incarnation);
         return 0;
     }
-    uint32_t doubt = bound_doubt(news);
-    if (news->incarnation < self->incarnation || doubt < self->heartbeat) {
+    uint32_t suspicion = bound_suspicion(update);
+    if (update->incarnation < self->incarnation ||
+        suspicion < self->heartbeat) {
         return 0;
     }
-    self->heartbeat = doubt;
+    self->heartbeat = suspicion;
     SasMembership_Beat(table, now_ms);
     self->sends_left = get_sends(table);
     return SAS_CHANGE_MEMBER;
 }
 
-/* Guards against a process that is dead but stays young: if a relayed age
- * could renew what is known at the same heartbeat, two nodes that tell each
- * other of it would lose the time of each message. Only a risen heartbeat
- * renews; at the same one the earlier time stands. */
+/* Guards against a dead process that looks recent: if a relayed age could
+ * replace the known one at the same heartbeat, two nodes that relay it to each
+ * other would not count the transit time of each message. Only a higher
+ * heartbeat resets the time; at the same one the earlier time is kept. */
 static void
 merge_heartbeat(struct sas_member *member, uint32_t heartbeat,
-                int64_t heard_ms)
+                int64_t heartbeat_ms)
 {
     if (heartbeat > member->heartbeat) {
         member->heartbeat = heartbeat;
-        member->heard_ms = heard_ms;
+        member->heartbeat_ms = heartbeat_ms;
     }
     else if (heartbeat == member->heartbeat) {
-        member->heard_ms = MIN(member->heard_ms, heard_ms);
+        member->heartbeat_ms = MIN(member->heartbeat_ms, heartbeat_ms);
     }
 }
 
 static int
-raise_highest(struct sas_membership *table, uint64_t version)
+raise_highest_version(struct sas_membership *table, uint64_t version)
 {
     if (version <= table->highest_version) {
         return 0;
@@ -507,13 +519,13 @@
     return SAS_CHANGE_VERSION;
 }
 
-/* A doubt can't be far ahead of its heartbeat; without this a single wrong
- * message would use up the heartbeats of a seat. */
+/* Bounds how far a suspicion is ahead of its heartbeat: otherwise a single
+ * wrong message could use up the heartbeats of a member. */
 static uint32_t
-bound_doubt(const struct sas_member_news *news)
+bound_suspicion(const struct sas_member_news *update)
 {
-    uint64_t limit = (uint64_t)news->heartbeat + MAX_MISSED_BEATS;
-    return (uint32_t)MIN(news->doubt, MIN(limit, UINT32_MAX - 1));
+    uint64_t limit = (uint64_t)update->heartbeat + MAX_MISSED_HEARTBEATS;
+    return (uint32_t)MIN(update->doubt, MIN(limit, UINT32_MAX - 1));
 }
 
 static uint8_t
@@ -523,58 +535,58 @@
 }
 
 static bool
-is_doubted(const struct sas_member *member)
+is_suspected(const struct sas_member *member)
 {
     return member->doubt != 0 && member->doubt >= member->heartbeat;
 }
 
-/* Moves a random choice to the first `part` places. */
+/* Moves `picked` random entries to the front. */
 static void
-shuffle_part(GRand *random, int *seats, int count, int part)
+shuffle_front(GRand *random, int *member_ids, int count, int picked)
 {
-    for (int i = 0; i < part; i++) {
+    for (int i = 0; i < picked; i++) {
         int other = g_rand_int_range(random, i, count);
-        int seat = seats[i];
-        seats[i] = seats[other];
-        seats[other] = seat;
+        int member_id = member_ids[i];
+        member_ids[i] = member_ids[other];
+        member_ids[other] = member_id;
     }
 }
 
 static void
-fill_news(const struct sas_membership *table, int seat, int64_t now_ms,
-          struct sas_member_news *news)
-{
-    const struct sas_member *member = &table->members[seat];
-    news->seat = seat;
-    news->leaving = member->leaving;
-    news->incarnation = member->incarnation;
-    news->config_version = member->config_version;
-    news->heartbeat = member->heartbeat;
-    news->doubt = member->doubt;
-    news->age_ms = seat == table->own ? 0 : now_ms - member->heard_ms;
-}
-
-/* Guards against changes that wait behind others: when a region fails, a
- * third of the table changes at once, far more than a message holds. In the
- * order of seats the last doubts would be told minutes later, so a message
- * takes a random part of the changes. */
+fill_update(const struct sas_membership *table, int member_id, int64_t now_ms,
+            struct sas_member_news *update)
+{
+    const struct sas_member *member = &table->members[member_id];
+    update->seat = member_id;
+    update->leaving = member->leaving;
+    update->incarnation = member->incarnation;
+    update->config_version = member->config_version;
+    update->heartbeat = member->heartbeat;
+    update->doubt = member->doubt;
+    update->age_ms =
+        member_id == table->own ? 0 : now_ms - member->heartbeat_ms;
+}
+
+/* Adds recent changes in random order. When a region fails, a third of the
+ * table changes at once, far more than a message holds; in the order of the
+ * table the last suspicions would be sent minutes later. */
 static int
 fill_changes(struct sas_membership *table, GRand *random, int64_t now_ms,
-             struct sas_member_news *news, int max, bool *taken)
+             struct sas_member_news *updates, int max, bool *taken)
 {
     g_autofree int *changed = g_new(int, table->count);
     int changed_count = 0;
-    for (int seat = 0; seat < table->count; seat++) {
-        if (table->members[seat].sends_left > 0 && !taken[seat]) {
-            changed[changed_count++] = seat;
+    for (int member_id = 0; member_id < table->count; member_id++) {
+        if (table->members[member_id].sends_left > 0 && !taken[member_id]) {
+            changed[changed_count++] = member_id;
         }
     }
     int count = MIN(changed_count, max);
-    shuffle_part(random, changed, changed_count, count);
+    shuffle_front(random, changed, changed_count, count);
     for (int i = 0; i < count; i++) {
         table->members[changed[i]].sends_left--;
         taken[changed[i]] = true;
-        fill_news(table, changed[i], now_ms, &news[i]);
+        fill_update(table, changed[i], now_ms, &updates[i]);
     }
     return count;
 }
--- a/packages/core/tests/property_membership.py
+++ b/packages/core/tests/property_membership.py
@@ -1,5 +1,5 @@
-"""Merges of membership news give the same table in any order and with any
-repetition, and nothing that has to rise ever falls."""
+"""Merges of membership updates give the same table in any order and with any
+repetition, and incarnations, heartbeats and versions never fall."""
 import ctypes
 import os
 import subprocess
@@ -9,13 +9,13 @@
 
 from hypothesis import given, settings, strategies as st
 
-SEATS = 4
+MEMBERS = 4
 OWN = 0
 OWN_INCARNATION = 2
 NOW_MS = 1_000_000
 
 
-class News(ctypes.Structure):
+class Update(ctypes.Structure):
     _fields_ = [("seat", c_int), ("leaving", c_bool),
                 ("incarnation", c_uint64), ("config_version", c_uint64),
                 ("heartbeat", c_uint32), ("doubt", c_uint32),
@@ -24,16 +24,16 @@
 
 class Member(ctypes.Structure):
     _fields_ = [("incarnation", c_uint64), ("config_version", c_uint64),
-                ("heard_ms", c_int64), ("direct_ms", c_int64),
+                ("heartbeat_ms", c_int64), ("direct_ms", c_int64),
                 ("doubt_ms", c_int64), ("heartbeat", c_uint32),
                 ("doubt", c_uint32), ("leaving", c_bool),
-                ("sends_left", c_uint8), ("silences", c_uint8)]
+                ("sends_left", c_uint8), ("timeouts", c_uint8)]
 
 
 class Times(ctypes.Structure):
     _fields_ = [("interval_ms", c_int64), ("fanout", c_int),
                 ("suspect_ms", c_int64), ("gone_ms", c_int64),
-                ("refute_ms", c_int64), ("cut_off_ms", c_int64)]
+                ("refute_ms", c_int64), ("partition_ms", c_int64)]
 
 
 class Membership(ctypes.Structure):
@@ -53,8 +53,8 @@
 
 
 def run_again_with_sanitizer():
-    """A sanitized library needs the sanitizer's runtime loaded first. Leaks
-    are not looked for: python itself has some."""
+    """A sanitized library needs the sanitizer's runtime loaded first. Leak
+    detection is off: Python itself has leaks."""
     runtime = subprocess.run(["gcc", "-print-file-name=libasan.so"],
                              check=True, capture_output=True, text=True)
     os.environ["LD_PRELOAD"] = runtime.stdout.strip()
@@ -68,13 +68,13 @@
 lib.SasMembership_Init.argtypes = [
     ctypes.POINTER(Membership), c_int, c_int, c_uint64, c_int64]
 lib.SasMembership_Merge.argtypes = [
-    ctypes.POINTER(Membership), ctypes.POINTER(News), c_int64]
+    ctypes.POINTER(Membership), ctypes.POINTER(Update), c_int64]
 lib.SasDeparture_NoteReport.argtypes = [
     ctypes.POINTER(Departures), c_int, c_uint64, c_bool, c_int64]
 lib.SasDeparture_NoteReport.restype = c_bool
 
-news_rows = st.tuples(
-    st.integers(0, SEATS - 1), st.booleans(), st.integers(0, 3),
+update_rows = st.tuples(
+    st.integers(0, MEMBERS - 1), st.booleans(), st.integers(0, 3),
     st.integers(0, 5), st.integers(0, 4), st.integers(0, 6),
     st.integers(0, 3).map(lambda n: n * 100))
 check = settings(derandomize=True, deadline=None, database=None,
@@ -84,74 +84,77 @@
 class Table:
     def __init__(self):
         self.table = Membership()
-        lib.SasMembership_Init(byref(self.table), SEATS, OWN,
+        lib.SasMembership_Init(byref(self.table), MEMBERS, OWN,
                                OWN_INCARNATION, NOW_MS)
 
     def merge(self, row):
-        return lib.SasMembership_Merge(byref(self.table), byref(News(*row)),
+        return lib.SasMembership_Merge(byref(self.table), byref(Update(*row)),
                                        NOW_MS)
 
-    def facts(self, seat):
-        member = self.table.members[seat]
-        return (member.incarnation, member.heartbeat, member.heard_ms,
+    def get_row(self, member_id):
+        member = self.table.members[member_id]
+        return (member.incarnation, member.heartbeat, member.heartbeat_ms,
                 member.leaving, member.config_version, member.doubt)
 
-    def all_facts(self):
-        """The others' rows; the own heartbeat refutes doubts as they come."""
-        rows = [self.facts(seat) for seat in range(SEATS) if seat != OWN]
+    def get_rows(self):
+        """The other members' rows; the own heartbeat depends on the order, as
+        it refutes each suspicion."""
+        rows = [self.get_row(member_id) for member_id in range(MEMBERS)
+                if member_id != OWN]
         return rows, self.table.replaced_by
 
     def close(self):
         lib.SasMembership_Close(byref(self.table))
 
 
-def merged(rows):
+def merge_rows(rows):
     table = Table()
     for row in rows:
         table.merge(row)
-    facts = table.all_facts()
+    result = table.get_rows()
     table.close()
-    return facts
+    return result
 
 
 @check
-@given(st.lists(news_rows, max_size=12), st.data())
-def order_and_repetition_make_no_difference(rows, data):
+@given(st.lists(update_rows, max_size=12), st.data())
+def merge_ignores_order_and_repetition(rows, data):
     shuffled = data.draw(st.permutations(rows))
     repeated = data.draw(st.lists(st.sampled_from(rows), max_size=6)
                          if rows else st.just([]))
-    assert merged(rows) == merged(shuffled)
-    assert merged(rows) == merged(shuffled + repeated)
+    assert merge_rows(rows) == merge_rows(shuffled)
+    assert merge_rows(rows) == merge_rows(shuffled + repeated)
 
 
 @check
-@given(st.lists(news_rows, max_size=12), st.lists(news_rows, max_size=12))
-def tables_merge_like_their_news(left, right):
-    """A relay that passes on what it knows does as well as the sources."""
+@given(st.lists(update_rows, max_size=12), st.lists(update_rows, max_size=12))
+def relayed_updates_merge_like_the_originals(left, right):
+    """Updates that a relay merged and passes on have the same effect as the
+    original ones."""
     relay = Table()
     for row in left:
         relay.merge(row)
     passed_on = []
-    for seat in range(SEATS):
-        incarnation, heartbeat, heard, leaving, version, doubt = \
-            relay.facts(seat)
-        if seat != OWN and incarnation:
-            passed_on.append((seat, leaving, incarnation, version, heartbeat,
-                              doubt, NOW_MS - heard))
+    for member_id in range(MEMBERS):
+        incarnation, heartbeat, heartbeat_ms, leaving, version, suspicion = \
+            relay.get_row(member_id)
+        if member_id != OWN and incarnation:
+            passed_on.append((member_id, leaving, incarnation, version,
+                              heartbeat, suspicion, NOW_MS - heartbeat_ms))
     relay.close()
-    foreign = [row for row in left if row[0] != OWN]
-    assert merged(right + passed_on)[0] == merged(right + foreign)[0]
+    of_others = [row for row in left if row[0] != OWN]
+    assert merge_rows(right + passed_on)[0] == merge_rows(right + of_others)[0]
 
 
 @check
-@given(st.lists(news_rows, max_size=20))
-def nothing_that_rises_falls(rows):
+@given(st.lists(update_rows, max_size=20))
+def rising_values_never_fall(rows):
     table = Table()
-    before = [table.facts(seat) for seat in range(SEATS)]
+    before = [table.get_row(member_id) for member_id in range(MEMBERS)]
     highest = 0
     for row in rows:
         table.merge(row)
-        after = [table.facts(seat) for seat in range(SEATS)]
+        after = [table.get_row(member_id) for member_id in range(MEMBERS)]
         for old, new in zip(before, after):
             assert (new[0], new[1]) >= (old[0], old[1])
             if new[0] == old[0]:
@@ -171,11 +174,11 @@
 @check
 @given(st.lists(st.lists(st.booleans(), min_size=1, max_size=4), min_size=1,
                 max_size=4), st.data())
-def reports_of_servers_in_any_order(lives, data):
-    """lives: for each incarnation of a server, its reports in order."""
+def reports_of_servers_merge_in_any_order(incarnations, data):
+    """incarnations: for each one of a server, its reports in order."""
     reports = [(index + 1, leaving, 1000 * index + place)
-               for index, life in enumerate(lives)
-               for place, leaving in enumerate(life)]
+               for index, reported in enumerate(incarnations)
+               for place, leaving in enumerate(reported)]
     order = data.draw(st.permutations(reports))
     order += data.draw(st.lists(st.sampled_from(reports), max_size=5))
     table = Departures()
@@ -183,14 +186,14 @@
     for incarnation, leaving, measured in order:
         lib.SasDeparture_NoteReport(byref(table), 0, incarnation, leaving,
                                     measured)
-    assert table.backends[0].incarnation == len(lives)
-    assert bool(table.backends[0].sources) == any(lives[-1])
+    assert table.backends[0].incarnation == len(incarnations)
+    assert bool(table.backends[0].sources) == any(incarnations[-1])
     lib.SasDeparture_Close(byref(table))
 
 
 if __name__ == "__main__":
-    order_and_repetition_make_no_difference()
-    tables_merge_like_their_news()
-    nothing_that_rises_falls()
-    reports_of_servers_in_any_order()
+    merge_ignores_order_and_repetition()
+    relayed_updates_merge_like_the_originals()
+    rising_values_never_fall()
+    reports_of_servers_merge_in_any_order()
     print("ok")
--- a/packages/core/tests/test_membership.c
+++ b/packages/core/tests/test_membership.c
@@ -5,7 +5,7 @@
 
 #include "sas/membership.h"
 
-#define SEATS 9
+#define MEMBERS 9
 #define START_MS 100000
 
 static struct sas_membership table;
@@ -15,7 +15,7 @@
 set_up(void **state)
 {
     (void)state;
-    SasMembership_Init(&table, SEATS, 0, 50, START_MS);
+    SasMembership_Init(&table, MEMBERS, 0, 50, START_MS);
     random_numbers = g_rand_new_with_seed(7);
     return 0;
 }
@@ -30,21 +30,21 @@
 }
 
 static int
-hear(int seat, uint64_t incarnation, uint32_t heartbeat, int64_t age_ms,
-     int64_t now_ms)
+merge_update(int member_id, uint64_t incarnation, uint32_t heartbeat,
+             int64_t age_ms, int64_t now_ms)
 {
-    struct sas_member_news news = {.seat = seat,
-                                   .incarnation = incarnation,
-                                   .heartbeat = heartbeat,
-                                   .age_ms = age_ms};
-    return SasMembership_Merge(&table, &news, now_ms);
+    struct sas_member_news update = {.seat = member_id,
+                                     .incarnation = incarnation,
+                                     .heartbeat = heartbeat,
+                                     .age_ms = age_ms};
+    return SasMembership_Merge(&table, &update, now_ms);
 }
 
 static void
-assert_state(int seat, int64_t now_ms, enum sas_member_state expected)
+assert_state(int member_id, int64_t now_ms, enum sas_member_state expected)
 {
     assert_string_equal(SasMembership_GetStateName(
-                            SasMembership_GetState(&table, seat, now_ms)),
+                            SasMembership_GetState(&table, member_id, now_ms)),
                         SasMembership_GetStateName(expected));
 }
 
@@ -54,34 +54,34 @@
     (void)state;
     const struct sas_membership_times *times = &table.times;
     assert_state(1, START_MS, SAS_MEMBER_UNKNOWN);
-    assert_int_equal(hear(1, 60, 5, 0, START_MS), SAS_CHANGE_MEMBER);
+    assert_int_equal(merge_update(1, 60, 5, 0, START_MS), SAS_CHANGE_MEMBER);
     assert_state(1, START_MS, SAS_MEMBER_LIVE);
     assert_state(1, START_MS + times->suspect_ms, SAS_MEMBER_SUSPECT);
     assert_state(1, START_MS + times->gone_ms, SAS_MEMBER_GONE);
     assert_state(0, START_MS + times->gone_ms, SAS_MEMBER_LIVE);
-    assert_state(SEATS, START_MS, SAS_MEMBER_UNKNOWN);
+    assert_state(MEMBERS, START_MS, SAS_MEMBER_UNKNOWN);
 }
 
-/* A process dies. Its last news goes round among the others, each time with
- * an age a little too small, since the message took a while. Callers would
- * be sent to the dead process for good if that made it look younger. */
+/* Guards against a dead process that counts as live for good: its last update
+ * is relayed between the others, each time with an age that lacks the transit
+ * time of the message. */
 static void
-test_relays_do_not_renew_a_dead_process(void **state)
+test_relays_do_not_reset_the_age_of_a_dead_process(void **state)
 {
     (void)state;
     struct sas_membership other;
-    struct sas_member_news news[SEATS];
+    struct sas_member_news updates[MEMBERS];
     int64_t now_ms = START_MS;
-    SasMembership_Init(&other, SEATS, 2, 70, START_MS);
-    hear(1, 60, 5, 0, START_MS);
+    SasMembership_Init(&other, MEMBERS, 2, 70, START_MS);
+    merge_update(1, 60, 5, 0, START_MS);
     struct sas_membership *from = &table;
     struct sas_membership *to = &other;
     while (now_ms < START_MS + table.times.gone_ms) {
         int count = SasMembership_FillDigest(from, random_numbers, now_ms,
-                                             news, SEATS);
+                                             updates, MEMBERS);
         now_ms += 50;
         for (int i = 0; i < count; i++) {
-            SasMembership_Merge(to, &news[i], now_ms);
+            SasMembership_Merge(to, &updates[i], now_ms);
         }
         struct sas_membership *swap = from;
         from = to;
@@ -95,24 +95,24 @@
 test_leaving_sticks_for_its_incarnation(void **state)
 {
     (void)state;
-    struct sas_member_news news = {
+    struct sas_member_news update = {
         .seat = 1, .incarnation = 60, .heartbeat = 5, .leaving = true};
-    hear(1, 60, 4, 0, START_MS);
-    assert_int_equal(SasMembership_Merge(&table, &news, START_MS),
+    merge_update(1, 60, 4, 0, START_MS);
+    assert_int_equal(SasMembership_Merge(&table, &update, START_MS),
                      SAS_CHANGE_MEMBER);
-    assert_int_equal(hear(1, 60, 9, 0, START_MS), 0);
+    assert_int_equal(merge_update(1, 60, 9, 0, START_MS), 0);
     assert_state(1, START_MS, SAS_MEMBER_LEAVING);
-    assert_int_equal(hear(1, 61, 1, 0, START_MS), SAS_CHANGE_MEMBER);
+    assert_int_equal(merge_update(1, 61, 1, 0, START_MS), SAS_CHANGE_MEMBER);
     assert_state(1, START_MS, SAS_MEMBER_LIVE);
-    assert_int_equal(SasMembership_Merge(&table, &news, START_MS), 0);
+    assert_int_equal(SasMembership_Merge(&table, &update, START_MS), 0);
     assert_state(1, START_MS, SAS_MEMBER_LIVE);
 }
 
 static void
-test_silence_raises_doubt_and_the_seat_refutes_it(void **state)
+test_timeouts_raise_a_suspicion_that_the_member_refutes(void **state)
 {
     (void)state;
-    hear(1, 60, 5, 0, START_MS);
+    merge_update(1, 60, 5, 0, START_MS);
     SasMembership_NoteDirect(&table, 2, 70, START_MS);
     assert_false(SasMembership_MayRetry(&table, 1));
     assert_int_equal(SasMembership_NoteSilence(&table, 1, START_MS + 1), 0);
@@ -121,69 +121,71 @@
                      SAS_CHANGE_MEMBER);
     assert_state(1, START_MS + 2, SAS_MEMBER_SUSPECT);
     assert_state(1, START_MS + 2 + table.times.refute_ms, SAS_MEMBER_GONE);
-    hear(1, 60, 6, 0, START_MS + 3);
+    merge_update(1, 60, 6, 0, START_MS + 3);
     assert_state(1, START_MS + 3, SAS_MEMBER_LIVE);
 
-    struct sas_membership doubted;
-    SasMembership_Init(&doubted, SEATS, 1, 60, START_MS);
-    struct sas_member_news news = {
+    struct sas_membership suspected;
+    SasMembership_Init(&suspected, MEMBERS, 1, 60, START_MS);
+    struct sas_member_news update = {
         .seat = 1, .incarnation = 60, .heartbeat = 5, .doubt = 8};
-    assert_int_equal(SasMembership_Merge(&doubted, &news, START_MS),
+    assert_int_equal(SasMembership_Merge(&suspected, &update, START_MS),
                      SAS_CHANGE_MEMBER);
-    assert_true(doubted.members[1].heartbeat > 8);
-    assert_int_equal(SasMembership_Merge(&doubted, &news, START_MS), 0);
-    SasMembership_Close(&doubted);
+    assert_true(suspected.members[1].heartbeat > 8);
+    assert_int_equal(SasMembership_Merge(&suspected, &update, START_MS), 0);
+    SasMembership_Close(&suspected);
 }
 
-/* One node's news of a dead seat is old when it finds the silence; another
- * node then hears a heartbeat of between. The doubt must still hold, or at
- * 1,500 seats a death would take as long to be known as the oldest news. */
+/* A node suspects a dead member of which it has old updates, and later ones,
+ * sent before the pings timed out, arrive afterwards. They must not clear the
+ * suspicion: with 1,500 members it would take as long as the oldest update to
+ * detect the failure. */
 static void
-test_doubt_covers_heartbeats_not_heard_yet(void **state)
+test_suspicion_covers_heartbeats_that_arrive_later(void **state)
 {
     (void)state;
-    int64_t beats = 4;
-    int64_t later_ms = START_MS + beats * table.times.interval_ms;
-    hear(1, 60, 5, 0, START_MS);
+    int64_t heartbeats = 4;
+    int64_t later_ms = START_MS + heartbeats * table.times.interval_ms;
+    merge_update(1, 60, 5, 0, START_MS);
     SasMembership_NoteDirect(&table, 2, 70, later_ms);
     SasMembership_NoteSilence(&table, 1, later_ms);
     SasMembership_NoteSilence(&table, 1, later_ms);
-    hear(1, 60, 5 + (uint32_t)beats, table.times.interval_ms, later_ms);
+    merge_update(1, 60, 5 + (uint32_t)heartbeats, table.times.interval_ms,
+                 later_ms);
     assert_state(1, later_ms, SAS_MEMBER_SUSPECT);
-    hear(1, 60, 6 + (uint32_t)beats, 0, later_ms);
+    merge_update(1, 60, 6 + (uint32_t)heartbeats, 0, later_ms);
     assert_state(1, later_ms, SAS_MEMBER_LIVE);
 }
 
 static void
-test_a_wild_doubt_does_not_use_up_heartbeats(void **state)
+test_bounded_suspicion_does_not_use_up_heartbeats(void **state)
 {
     (void)state;
-    struct sas_member_news news = {
+    struct sas_member_news update = {
         .seat = 0, .incarnation = 50, .heartbeat = 1, .doubt = UINT32_MAX};
-    SasMembership_Merge(&table, &news, START_MS);
+    SasMembership_Merge(&table, &update, START_MS);
     assert_true(table.members[0].heartbeat < 1000000);
 }
 
 static void
-test_own_hearing_beats_the_doubt_of_others(void **state)
+test_direct_message_clears_the_suspicion_of_others(void **state)
 {
     (void)state;
-    struct sas_member_news news = {
+    struct sas_member_news update = {
         .seat = 1, .incarnation = 60, .heartbeat = 5, .doubt = 5};
-    SasMembership_Merge(&table, &news, START_MS);
+    SasMembership_Merge(&table, &update, START_MS);
     assert_state(1, START_MS, SAS_MEMBER_SUSPECT);
     SasMembership_NoteDirect(&table, 1, 60, START_MS + 1);
     assert_state(1, START_MS + 1, SAS_MEMBER_LIVE);
 }
 
-/* A node loses its network for a while. All others look silent to it. It
- * must know that it is the one, and spread no doubt when the cut heals. */
+/* A node loses its network for a while, and its pings to all others time out.
+ * It must count itself as partitioned and spread no suspicion afterwards. */
 static void
-test_who_hears_nobody_is_cut_off(void **state)
+test_node_without_messages_is_partitioned(void **state)
 {
     (void)state;
-    int64_t later_ms = START_MS + table.times.cut_off_ms;
-    hear(1, 60, 5, 0, START_MS);
+    int64_t later_ms = START_MS + table.times.partition_ms;
+    merge_update(1, 60, 5, 0, START_MS);
     assert_false(SasMembership_IsCutOff(&table, later_ms - 1));
     assert_true(SasMembership_IsCutOff(&table, later_ms));
     for (int i = 0; i < 2 * SasMembership_SILENCE_LIMIT; i++) {
@@ -195,52 +197,53 @@
 }
 
 static void
-test_a_second_process_of_our_seat_is_seen(void **state)
+test_newer_process_of_the_own_member_is_noticed(void **state)
 {
     (void)state;
-    assert_int_equal(hear(0, 49, 1, 0, START_MS), 0);
+    assert_int_equal(merge_update(0, 49, 1, 0, START_MS), 0);
     assert_int_equal(table.replaced_by, 0);
-    hear(0, 51, 1, 0, START_MS);
+    merge_update(0, 51, 1, 0, START_MS);
     assert_int_equal(table.replaced_by, 51);
     assert_int_equal(table.members[0].incarnation, 50);
 }
 
 static void
-test_a_process_whose_clock_went_back_renews_itself(void **state)
+test_incarnation_is_raised_after_the_clock_went_back(void **state)
 {
     (void)state;
     assert_int_equal(SasMembership_Renew(&table, START_MS), 0);
-    hear(0, 51, 1, 0, START_MS);
+    merge_update(0, 51, 1, 0, START_MS);
     assert_int_equal(SasMembership_Renew(&table, START_MS), 52);
     assert_int_equal(table.members[0].incarnation, 52);
-    hear(0, 51, 9, 0, START_MS);
+    merge_update(0, 51, 9, 0, START_MS);
     assert_int_equal(SasMembership_Renew(&table, START_MS), 0);
 }
 
 static void
-test_picks_are_different_and_never_oneself(void **state)
+test_picks_are_different_and_never_the_own_member(void **state)
 {
     (void)state;
-    int seats[SEATS];
-    int gone_picks = 0;
+    int member_ids[MEMBERS];
+    int dead_picks = 0;
     int64_t now_ms = START_MS + table.times.gone_ms;
-    for (int seat = 1; seat < SEATS; seat++) {
-        hear(seat, 60, 5, seat == 8 ? table.times.gone_ms : 0, now_ms);
+    for (int member_id = 1; member_id < MEMBERS; member_id++) {
+        merge_update(member_id, 60, 5,
+                     member_id == 8 ? table.times.gone_ms : 0, now_ms);
     }
     for (int round = 0; round < 400; round++) {
-        assert_int_equal(
-            SasMembership_PickPeers(&table, random_numbers, now_ms, seats, 3),
-            3);
+        assert_int_equal(SasMembership_PickPeers(&table, random_numbers,
+                                                 now_ms, member_ids, 3),
+                         3);
         for (int i = 0; i < 3; i++) {
-            assert_int_not_equal(seats[i], 0);
-            assert_int_not_equal(seats[i], seats[(i + 1) % 3]);
-            gone_picks += seats[i] == 8;
+            assert_int_not_equal(member_ids[i], 0);
+            assert_int_not_equal(member_ids[i], member_ids[(i + 1) % 3]);
+            dead_picks += member_ids[i] == 8;
         }
     }
-    assert_in_range(gone_picks, 20, 100);
-    assert_int_equal(
-        SasMembership_PickPeers(&table, random_numbers, now_ms, seats, SEATS),
-        SEATS - 1);
+    assert_in_range(dead_picks, 20, 100);
+    assert_int_equal(SasMembership_PickPeers(&table, random_numbers, now_ms,
+                                             member_ids, MEMBERS),
+                     MEMBERS - 1);
 }
 
 static void
@@ -248,13 +251,13 @@
 {
     (void)state;
     struct sas_membership large;
-    struct sas_member_news news[4];
+    struct sas_member_news updates[4];
     SasMembership_Init(&large, 200, 150, 50, START_MS);
-    for (int seat = 0; seat < 200; seat++) {
+    for (int member_id = 0; member_id < 200; member_id++) {
         struct sas_member_news live = {
-            .seat = seat, .incarnation = 60, .heartbeat = 1};
+            .seat = member_id, .incarnation = 60, .heartbeat = 1};
         SasMembership_Merge(&large, &live, START_MS);
-        large.members[seat].sends_left = 0;
+        large.members[member_id].sends_left = 0;
     }
     struct sas_member_news change = {
         .seat = 77, .incarnation = 60, .heartbeat = 1, .leaving = true};
@@ -262,34 +265,34 @@
     int sends = large.members[77].sends_left;
     for (int i = 0; i < sends; i++) {
         assert_int_equal(SasMembership_FillDigest(&large, random_numbers,
-                                                  START_MS, news, 4),
+                                                  START_MS, updates, 4),
                          4);
-        assert_int_equal(news[0].seat, 150);
-        assert_int_equal(news[1].seat, 77);
-        assert_true(news[1].leaving);
+        assert_int_equal(updates[0].seat, 150);
+        assert_int_equal(updates[1].seat, 77);
+        assert_true(updates[1].leaving);
     }
     assert_int_equal(large.members[77].sends_left, 0);
     SasMembership_Close(&large);
 }
 
 static void
-test_a_single_seat(void **state)
+test_single_member(void **state)
 {
     (void)state;
-    struct sas_membership alone;
-    int seat;
-    SasMembership_Init(&alone, 1, 0, 50, START_MS);
-    assert_int_equal(
-        SasMembership_PickPeers(&alone, random_numbers, START_MS, &seat, 1),
-        0);
-    assert_false(SasMembership_IsCutOff(&alone, START_MS + 1000000));
-    SasMembership_Close(&alone);
+    struct sas_membership single;
+    int member_id;
+    SasMembership_Init(&single, 1, 0, 50, START_MS);
+    assert_int_equal(SasMembership_PickPeers(&single, random_numbers, START_MS,
+                                             &member_id, 1),
+                     0);
+    assert_false(SasMembership_IsCutOff(&single, START_MS + 1000000));
+    SasMembership_Close(&single);
 }
 
 /* Backend servers */
 
 static void
-test_any_source_suffices(void **state)
+test_one_source_marks_a_server_as_leaving(void **state)
 {
     (void)state;
     struct sas_departure_table departures;
@@ -309,10 +312,10 @@
     SasDeparture_Close(&departures);
 }
 
-/* A server says that it is leaving and restarts. A peer's report of before
- * the restart comes in late; it must not mark the new process. */
+/* A server reports that it is leaving, and restarts. A peer's report of before
+ * the restart arrives late; it must not mark the new process. */
 static void
-test_a_restarted_server_begins_anew(void **state)
+test_restarted_server_is_not_leaving(void **state)
 {
     (void)state;
     struct sas_departure_table departures;
@@ -331,21 +334,21 @@
 #define TEST(name) cmocka_unit_test_setup_teardown(name, set_up, tear_down)
     const struct CMUnitTest tests[] = {
         TEST(test_states_follow_age),
-        TEST(test_relays_do_not_renew_a_dead_process),
+        TEST(test_relays_do_not_reset_the_age_of_a_dead_process),
         TEST(test_leaving_sticks_for_its_incarnation),
-        TEST(test_silence_raises_doubt_and_the_seat_refutes_it),
-        TEST(test_doubt_covers_heartbeats_not_heard_yet),
-        TEST(test_a_wild_doubt_does_not_use_up_heartbeats),
-        TEST(test_own_hearing_beats_the_doubt_of_others),
-        TEST(test_who_hears_nobody_is_cut_off),
-        TEST(test_a_second_process_of_our_seat_is_seen),
-        TEST(test_a_process_whose_clock_went_back_renews_itself),
-        TEST(test_a_process_whose_clock_went_back_renews_itself),
-        TEST(test_picks_are_different_and_never_oneself),
+        TEST(test_timeouts_raise_a_suspicion_that_the_member_refutes),
+        TEST(test_suspicion_covers_heartbeats_that_arrive_later),
+        TEST(test_bounded_suspicion_does_not_use_up_heartbeats),
+        TEST(test_direct_message_clears_the_suspicion_of_others),
+        TEST(test_node_without_messages_is_partitioned),
+        TEST(test_newer_process_of_the_own_member_is_noticed),
+        TEST(test_incarnation_is_raised_after_the_clock_went_back),
+        TEST(test_incarnation_is_raised_after_the_clock_went_back),
+        TEST(test_picks_are_different_and_never_the_own_member),
         TEST(test_digest_holds_changes_first),
-        TEST(test_a_single_seat),
-        TEST(test_any_source_suffices),
-        TEST(test_a_restarted_server_begins_anew),
+        TEST(test_single_member),
+        TEST(test_one_source_marks_a_server_as_leaving),
+        TEST(test_restarted_server_is_not_leaving),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
