--- a/packages/peer/src/call.c
+++ b/packages/peer/src/call.c
@@ -6,10 +6,11 @@
 #define BACKOFF_MAX_MS 5000
 
 static uint32_t next_xid(struct sas_peer *peer);
-static int ensure_connection(struct sas_peer *peer, int seat,
+static int ensure_connection(struct sas_peer *peer, int member_id,
                              struct sas_error *error);
 static void send_call(struct sas_peer *peer, struct sas_call *call);
-static void doubt_connection(struct sas_peer *peer, struct sas_call *call);
+static void replace_stalled_connection(struct sas_peer *peer,
+                                       struct sas_call *call);
 static void finish(struct sas_peer *peer, struct sas_call *call,
                    const struct sas_error *error,
                    const union sas_proto_body *body);
@@ -20,20 +21,20 @@
 /* Calls */
 
 int
-SasCall_Start(struct sas_peer *peer, int seat, uint32_t procedure,
+SasCall_Start(struct sas_peer *peer, int member_id, uint32_t procedure,
               const union sas_proto_body *body, int64_t timeout_ms,
               SasPeer_AnswerFn *callback, void *context,
               struct sas_error *error)
 {
-    if (seat < 0 || seat >= peer->model->vm_count || seat == peer->own_seat ||
-        peer->closing) {
+    if (member_id < 0 || member_id >= peer->model->vm_count ||
+        member_id == peer->own_id || peer->closing) {
         SasError_Set(error, SAS_EUNAVAILABLE, "peer.call", "",
-                     "seat %d can't be called", seat);
+                     "member %d can't be called", member_id);
         return -1;
     }
-    const char *name = peer->model->vms[seat].name;
-    struct sas_route *route = &peer->routes[seat];
-    if (route->calls.length >= SasPeer_MAX_CALLS) {
+    const char *name = peer->model->vms[member_id].name;
+    struct sas_peer_link *link = &peer->links[member_id];
+    if (link->calls.length >= SasPeer_MAX_CALLS) {
         SasPeer_Count(peer, SAS_PEER_CALLS_REFUSED_LIMIT);
         SasError_Set(error, SAS_EUNAVAILABLE, "peer.call", name,
                      "too many calls wait for an answer");
@@ -43,12 +44,12 @@
     size_t size = 0;
     g_autofree uint8_t *bytes = SasProto_EncodeBody(&message, &size, error);
     uint32_t xid = next_xid(peer);
-    if (bytes == NULL || ensure_connection(peer, seat, error) < 0) {
+    if (bytes == NULL || ensure_connection(peer, member_id, error) < 0) {
         return -1;
     }
     struct sas_call *call = g_new0(struct sas_call, 1);
     call->xid = xid;
-    call->seat = seat;
+    call->member_id = member_id;
     call->procedure = procedure;
     call->body = g_steal_pointer(&bytes);
     call->body_size = size;
@@ -58,21 +59,20 @@
     call->callback = callback;
     call->context = context;
     g_hash_table_insert(peer->calls, GUINT_TO_POINTER(call->xid), call);
-    g_queue_push_tail(&route->calls, call);
+    g_queue_push_tail(&link->calls, call);
     SasPeer_Count(peer, SAS_PEER_CALLS);
-    if (route->current != NULL &&
-        route->current->state == SAS_CONNECTION_OPEN) {
+    if (link->current != NULL && link->current->state == SAS_CONNECTION_OPEN) {
         send_call(peer, call);
     }
     return 0;
 }
 
 void
-SasCall_SendWaiting(struct sas_peer *peer, int seat)
+SasCall_SendPending(struct sas_peer *peer, int member_id)
 {
-    struct sas_route *route = &peer->routes[seat];
+    struct sas_peer_link *link = &peer->links[member_id];
     int64_t now_ms = SasPeer_GetNow();
-    for (GList *item = route->calls.head; item != NULL; item = item->next) {
+    for (GList *item = link->calls.head; item != NULL; item = item->next) {
         struct sas_call *call = item->data;
         if (call->connection == NULL && call->deadline_ms > now_ms) {
             send_call(peer, call);
@@ -80,14 +80,14 @@
     }
 }
 
-/* Guards against an answer that is acted on when nobody waits for it any
- * more. It shows as a loan used after its lender took it back: the process
- * was paused, the answer lay in its socket meanwhile, and libuv reads
- * sockets before it runs the timer that would have given the call up. So the
- * clock is asked here, and it is one that also runs while the VM sleeps. */
+/* Guards against an answer that is used after its timeout, for example a loan
+ * that the lender has already taken back: the process was paused while the
+ * answer waited in its socket, and libuv reads sockets before it runs the
+ * timer that would have failed the call. So the deadline is checked here, with
+ * a clock that also runs while the VM is suspended. */
 void
-SasCall_TakeReply(struct sas_connection *connection,
-                  struct sas_proto_message *message)
+SasCall_HandleReply(struct sas_connection *connection,
+                    struct sas_proto_message *message)
 {
     struct sas_peer *peer = connection->peer;
     struct sas_call *call =
@@ -99,7 +99,7 @@
     if (SasPeer_GetNow() >= call->deadline_ms) {
         SasPeer_Count(peer, SAS_PEER_ANSWERS_LATE);
         SasPeer_Count(peer, SAS_PEER_CALLS_TIMEOUT);
-        fail(peer, call, SAS_ETIMEOUT, "the answer came too late");
+        fail(peer, call, SAS_ETIMEOUT, "the answer arrived after the timeout");
         return;
     }
     if (message->status != SUCCESS) {
@@ -121,19 +121,19 @@
 SasCall_FailConnection(struct sas_connection *connection)
 {
     struct sas_peer *peer = connection->peer;
-    struct sas_route *route = &peer->routes[connection->seat];
+    struct sas_peer_link *link = &peer->links[connection->member_id];
     g_autoptr(GArray) xids = collect_xids(peer);
     for (guint i = 0; i < xids->len; i++) {
         struct sas_call *call = g_hash_table_lookup(
             peer->calls, GUINT_TO_POINTER(g_array_index(xids, guint, i)));
-        if (call == NULL || call->seat != connection->seat) {
+        if (call == NULL || call->member_id != connection->member_id) {
             continue;
         }
         if (call->connection == connection) {
             SasPeer_Count(peer, SAS_PEER_CALLS_LOST);
             fail(peer, call, SAS_EIO, "the connection ended");
         }
-        else if (call->connection == NULL && route->current == NULL) {
+        else if (call->connection == NULL && link->current == NULL) {
             SasPeer_Count(peer, SAS_PEER_CALLS_UNSENT);
             fail(peer, call, SAS_EUNAVAILABLE, "no connection");
         }
@@ -155,7 +155,7 @@
             fail(peer, call, SAS_EUNAVAILABLE, "no connection in time");
             continue;
         }
-        doubt_connection(peer, call);
+        replace_stalled_connection(peer, call);
         SasPeer_Count(peer, SAS_PEER_CALLS_TIMEOUT);
         fail(peer, call, SAS_ETIMEOUT, "no answer in time");
     }
@@ -175,15 +175,15 @@
         SasPeer_Count(peer,
                       sent ? SAS_PEER_CALLS_LOST : SAS_PEER_CALLS_UNSENT);
         fail(peer, call, sent ? SAS_EIO : SAS_EUNAVAILABLE,
-             "the peer task ends");
+             "the peer task is closed");
     }
 }
 
 bool
-SasCall_IsWaiting(const struct sas_route *route,
-                  const struct sas_connection *connection)
+SasCall_HasPending(const struct sas_peer_link *link,
+                   const struct sas_connection *connection)
 {
-    for (GList *item = route->calls.head; item != NULL; item = item->next) {
+    for (GList *item = link->calls.head; item != NULL; item = item->next) {
         const struct sas_call *call = item->data;
         if (call->connection == connection) {
             return true;
@@ -195,14 +195,15 @@
 /* Helpers */
 
 /* xids rise over the life of the process. When they are used up, all
- * connections are renewed, since on each of them they have to rise. */
+ * connections are replaced, as xids have to rise on each of them. */
 static uint32_t
 next_xid(struct sas_peer *peer)
 {
     if (peer->last_xid == UINT32_MAX) {
-        for (int seat = 0; seat < peer->model->vm_count; seat++) {
-            if (peer->routes[seat].current != NULL) {
-                SasConnection_Close(peer->routes[seat].current,
+        for (int member_id = 0; member_id < peer->model->vm_count;
+             member_id++) {
+            if (peer->links[member_id].current != NULL) {
+                SasConnection_Close(peer->links[member_id].current,
                                     SAS_PEER_SUPERSEDED);
             }
         }
@@ -212,25 +213,26 @@
 }
 
 static int
-ensure_connection(struct sas_peer *peer, int seat, struct sas_error *error)
+ensure_connection(struct sas_peer *peer, int member_id,
+                  struct sas_error *error)
 {
-    struct sas_route *route = &peer->routes[seat];
-    if (route->current != NULL) {
+    struct sas_peer_link *link = &peer->links[member_id];
+    if (link->current != NULL) {
         return 0;
     }
-    const char *name = peer->model->vms[seat].name;
+    const char *name = peer->model->vms[member_id].name;
     int64_t now_ms = SasPeer_GetNow();
-    if (now_ms < route->retry_ms) {
+    if (now_ms < link->retry_ms) {
         SasPeer_Count(peer, SAS_PEER_CALLS_REFUSED_BACKOFF);
         SasError_Set(error, SAS_EUNAVAILABLE, "peer.connect", name,
-                     "next try in %d ms", (int)(route->retry_ms - now_ms));
+                     "next try in %d ms", (int)(link->retry_ms - now_ms));
         return -1;
     }
-    int64_t wait_ms = (int64_t)BACKOFF_MIN_MS << MIN(route->failures, 10);
-    route->retry_ms = now_ms + MIN(wait_ms, BACKOFF_MAX_MS);
-    route->failures++;
-    route->current = SasConnection_Connect(peer, seat);
-    if (route->current == NULL) {
+    int64_t backoff_ms = (int64_t)BACKOFF_MIN_MS << MIN(link->failures, 10);
+    link->retry_ms = now_ms + MIN(backoff_ms, BACKOFF_MAX_MS);
+    link->failures++;
+    link->current = SasConnection_Connect(peer, member_id);
+    if (link->current == NULL) {
         SasError_Set(error, SAS_EUNAVAILABLE, "peer.connect", name,
                      "no connection");
         return -1;
@@ -241,7 +243,7 @@
 static void
 send_call(struct sas_peer *peer, struct sas_call *call)
 {
-    struct sas_connection *connection = peer->routes[call->seat].current;
+    struct sas_connection *connection = peer->links[call->member_id].current;
     struct sas_proto_message message = {
         .xid = call->xid,
         .procedure = call->procedure,
@@ -254,27 +256,26 @@
     }
 }
 
-/* Guards against a connection that something between the two ends has lost
- * track of: it stays open and gives no answer for good, while a new one
- * works. No byte since the call was sent and the call's time is over: new
- * calls go on a new connection. The old one is closed when the new one
- * answers; if that stays silent too, it is the peer that is. */
+/* Guards against a connection that a middlebox (NAT, firewall) has forgotten:
+ * it stays open and never carries an answer, while a new one works. If a call
+ * timed out and no record has arrived since it was sent, new calls use a new
+ * connection. The old one is closed when the new one opens; if that stalls
+ * too, the peer itself is unresponsive. */
 static void
-doubt_connection(struct sas_peer *peer, struct sas_call *call)
+replace_stalled_connection(struct sas_peer *peer, struct sas_call *call)
 {
-    struct sas_route *route = &peer->routes[call->seat];
+    struct sas_peer_link *link = &peer->links[call->member_id];
     struct sas_connection *connection = call->connection;
-    if (connection != route->current ||
-        connection->received > call->received) {
+    if (connection != link->current || connection->received > call->received) {
         return;
     }
-    if (route->doubted != NULL) {
-        SasConnection_Close(route->doubted, SAS_PEER_CONNECTION_SILENT);
+    if (link->stalled != NULL) {
+        SasConnection_Close(link->stalled, SAS_PEER_CONNECTION_SILENT);
     }
-    route->doubted = connection;
-    route->doubted_received = connection->received;
-    route->current = NULL;
-    ensure_connection(peer, call->seat, NULL);
+    link->stalled = connection;
+    link->stalled_received = connection->received;
+    link->current = NULL;
+    ensure_connection(peer, call->member_id, NULL);
 }
 
 static void
@@ -282,7 +283,7 @@
        const struct sas_error *error, const union sas_proto_body *body)
 {
     g_hash_table_remove(peer->calls, GUINT_TO_POINTER(call->xid));
-    g_queue_remove(&peer->routes[call->seat].calls, call);
+    g_queue_remove(&peer->links[call->member_id].calls, call);
     SasPeer_AnswerFn *callback = call->callback;
     void *context = call->context;
     g_free(call->body);
@@ -298,11 +299,11 @@
 {
     struct sas_error error;
     SasError_Set(&error, code, SasProto_GetName(call->procedure),
-                 peer->model->vms[call->seat].name, "%s", text);
+                 peer->model->vms[call->member_id].name, "%s", text);
     finish(peer, call, &error, NULL);
 }
 
-/* Callbacks may start and end calls, so loops go over a list of xids. */
+/* Callbacks may start and end calls, so loops iterate over a list of xids. */
 static GArray *
 collect_xids(const struct sas_peer *peer)
 {
--- a/packages/peer/src/connection.c
+++ b/packages/peer/src/connection.c
@@ -18,19 +18,20 @@
 static void on_read(uv_stream_t *stream, ssize_t size, const uv_buf_t *buffer);
 static void on_written(uv_write_t *request, int status);
 static void start_reading(struct sas_connection *connection);
-static void take_record(struct sas_connection *connection);
-static void take_hello_call(struct sas_connection *connection,
-                            struct sas_proto_message *message);
-static void take_hello_reply(struct sas_connection *connection,
-                             struct sas_proto_message *message);
-static void take_message(struct sas_connection *connection,
-                         struct sas_proto_message *message);
+static void handle_record(struct sas_connection *connection);
+static void handle_hello_call(struct sas_connection *connection,
+                              struct sas_proto_message *message);
+static void handle_hello_reply(struct sas_connection *connection,
+                               struct sas_proto_message *message);
+static void handle_message(struct sas_connection *connection,
+                           struct sas_proto_message *message);
 static void send_hello(struct sas_connection *connection);
-static bool is_old(const struct sas_connection *connection,
-                   uint64_t incarnation);
-static uint64_t get_newest(const struct sas_connection *connection,
-                           const struct sas_rpc_identity *identity);
-static void note_replaced(struct sas_peer *peer, uint64_t incarnation);
+static bool is_old_incarnation(const struct sas_connection *connection,
+                               uint64_t incarnation);
+static uint64_t
+get_newest_incarnation(const struct sas_connection *connection,
+                       const struct sas_rpc_identity *identity);
+static void note_newer_process(struct sas_peer *peer, uint64_t incarnation);
 static bool may_accept(struct sas_peer *peer,
                        struct sas_connection *connection);
 static bool get_remote_address(struct sas_connection *connection);
@@ -40,10 +41,10 @@
 /* Opening */
 
 struct sas_connection *
-SasConnection_Connect(struct sas_peer *peer, int seat)
+SasConnection_Connect(struct sas_peer *peer, int member_id)
 {
     struct sas_connection *connection = new_connection(peer);
-    connection->seat = seat;
+    connection->member_id = member_id;
     connection->outgoing = true;
     connection->state = SAS_CONNECTION_CONNECTING;
     uv_connect_t *request = g_new0(uv_connect_t, 1);
@@ -60,7 +61,7 @@
 SasConnection_Accept(struct sas_peer *peer)
 {
     struct sas_connection *connection = new_connection(peer);
-    connection->seat = SasModel_NONE;
+    connection->member_id = SasModel_NONE;
     connection->state = SAS_CONNECTION_HELLO;
     if (uv_accept((uv_stream_t *)&peer->listener,
                   (uv_stream_t *)&connection->tcp) < 0) {
@@ -95,10 +96,10 @@
                    struct sas_proto_message *message, struct sas_error *error)
 {
     struct sas_peer *peer = connection->peer;
-    const char *name = peer->model->vms[connection->seat].name;
-    message->identity.sender = (uint32_t)peer->own_seat;
+    const char *name = peer->model->vms[connection->member_id].name;
+    message->identity.sender = (uint32_t)peer->own_id;
     message->identity.sender_incarnation = peer->incarnation;
-    message->identity.receiver = (uint32_t)connection->seat;
+    message->identity.receiver = (uint32_t)connection->member_id;
     message->identity.receiver_incarnation = connection->remote_incarnation;
     size_t size = 0;
     g_autofree uint8_t *bytes = SasProto_Encode(
@@ -106,14 +107,14 @@
     if (bytes == NULL) {
         return -1;
     }
-    /* Guards against a peer that sends calls and never reads the answers,
-     * and against a link too slow for what is asked: the queue would grow
-     * until the memory is gone. */
+    /* Guards against a peer that sends calls and never reads the answers, and
+     * against a network link that is too slow for the traffic: the queue would
+     * grow until memory runs out. */
     uv_stream_t *stream = (uv_stream_t *)&connection->tcp;
     if (uv_stream_get_write_queue_size(stream) + size > SasPeer_MAX_QUEUED) {
         SasPeer_Count(peer, SAS_PEER_QUEUE_FULL);
         SasError_Set(error, SAS_ECAPACITY, "peer.send", name,
-                     "too many bytes wait to be sent");
+                     "too many unsent bytes");
         return -1;
     }
     struct write *write = g_new0(struct write, 1);
@@ -176,19 +177,19 @@
     return connection;
 }
 
-/* Connects from the own address of the model, by which the other side knows
- * that it is a seat. */
+/* Connects from the own address in the model: the peer accepts only addresses
+ * of members. */
 static int
 start_connecting(struct sas_connection *connection, uv_connect_t *request)
 {
     struct sas_peer *peer = connection->peer;
-    struct sas_address own = peer->model->vms[peer->own_seat].peer;
+    struct sas_address own = peer->model->vms[peer->own_id].peer;
     own.port = 0;
     struct sockaddr_storage from;
     struct sockaddr_storage to;
     if (SasConnection_ParseAddress(&own, &from) < 0 ||
-        SasConnection_ParseAddress(&peer->model->vms[connection->seat].peer,
-                                   &to) < 0) {
+        SasConnection_ParseAddress(
+            &peer->model->vms[connection->member_id].peer, &to) < 0) {
         return -1;
     }
     if (uv_tcp_bind(&connection->tcp, (struct sockaddr *)&from, 0) < 0) {
@@ -282,7 +283,7 @@
             return;
         }
         if (result > 0) {
-            take_record(connection);
+            handle_record(connection);
         }
         data += used;
         left -= used;
@@ -292,14 +293,14 @@
 static void
 on_written(uv_write_t *request, int status)
 {
-    (void)status; /* a failed write also ends the reading */
+    (void)status; /* a broken connection also ends the reads */
     struct write *write = (struct write *)request;
     g_free(write->bytes);
     g_free(write);
 }
 
 static void
-take_record(struct sas_connection *connection)
+handle_record(struct sas_connection *connection)
 {
     struct sas_proto_message message;
     struct sas_error error;
@@ -316,21 +317,21 @@
         return;
     }
     if (connection->state == SAS_CONNECTION_OPEN) {
-        take_message(connection, &message);
+        handle_message(connection, &message);
     }
     else if (connection->outgoing) {
-        take_hello_reply(connection, &message);
+        handle_hello_reply(connection, &message);
     }
     else {
-        take_hello_call(connection, &message);
+        handle_hello_call(connection, &message);
     }
 }
 
-/* A HELLO call may be a recorded one: it changes nothing but this
- * connection, which is of no use without the key. */
+/* A HELLO call may be a replay: it changes only the state of this connection,
+ * on which nothing can be done without the key. */
 static void
-take_hello_call(struct sas_connection *connection,
-                struct sas_proto_message *message)
+handle_hello_call(struct sas_connection *connection,
+                  struct sas_proto_message *message)
 {
     struct sas_peer *peer = connection->peer;
     struct sas_rpc_identity *identity = &message->identity;
@@ -339,15 +340,16 @@
         SasConnection_Close(connection, SAS_PEER_BAD_MESSAGE);
         return;
     }
-    if (identity->receiver != (uint32_t)peer->own_seat ||
+    if (identity->receiver != (uint32_t)peer->own_id ||
         identity->receiver_incarnation != 0 ||
         identity->sender >= (uint32_t)peer->model->vm_count ||
-        identity->sender == (uint32_t)peer->own_seat) {
+        identity->sender == (uint32_t)peer->own_id) {
         SasConnection_Close(connection, SAS_PEER_BAD_IDENTITY);
         return;
     }
-    connection->seat = (int)identity->sender;
-    connection->remote_incarnation = get_newest(connection, identity);
+    connection->member_id = (int)identity->sender;
+    connection->remote_incarnation =
+        get_newest_incarnation(connection, identity);
     connection->last_xid = message->xid;
     memcpy(connection->session.caller_nonce, message->body.hello.nonce,
            SAS_RPC_NONCE_SIZE);
@@ -377,8 +379,8 @@
 }
 
 static void
-take_hello_reply(struct sas_connection *connection,
-                 struct sas_proto_message *message)
+handle_hello_reply(struct sas_connection *connection,
+                   struct sas_proto_message *message)
 {
     struct sas_peer *peer = connection->peer;
     const struct sas_rpc_identity *identity = &message->identity;
@@ -388,18 +390,18 @@
         SasConnection_Close(connection, SAS_PEER_BAD_MESSAGE);
         return;
     }
-    if (identity->sender != (uint32_t)connection->seat ||
-        identity->receiver != (uint32_t)peer->own_seat ||
+    if (identity->sender != (uint32_t)connection->member_id ||
+        identity->receiver != (uint32_t)peer->own_id ||
         identity->receiver_incarnation < peer->incarnation) {
         SasConnection_Close(connection, SAS_PEER_BAD_IDENTITY);
         return;
     }
     if (identity->receiver_incarnation > peer->incarnation) {
-        note_replaced(peer, identity->receiver_incarnation);
+        note_newer_process(peer, identity->receiver_incarnation);
         SasConnection_Close(connection, SAS_PEER_OLD_INCARNATION);
         return;
     }
-    if (is_old(connection, identity->sender_incarnation)) {
+    if (is_old_incarnation(connection, identity->sender_incarnation)) {
         SasConnection_Close(connection, SAS_PEER_OLD_INCARNATION);
         return;
     }
@@ -414,70 +416,71 @@
 }
 
 static void
-take_message(struct sas_connection *connection,
-             struct sas_proto_message *message)
+handle_message(struct sas_connection *connection,
+               struct sas_proto_message *message)
 {
     struct sas_peer *peer = connection->peer;
     struct sas_rpc_identity expected = {
-        .sender = (uint32_t)connection->seat,
+        .sender = (uint32_t)connection->member_id,
         .sender_incarnation = connection->remote_incarnation,
-        .receiver = (uint32_t)peer->own_seat,
+        .receiver = (uint32_t)peer->own_id,
         .receiver_incarnation = peer->incarnation,
     };
     if (SasProto_CheckIdentity(message, &expected, NULL) < 0) {
         SasConnection_Close(connection, SAS_PEER_BAD_IDENTITY);
         return;
     }
-    if (is_old(connection, connection->remote_incarnation)) {
+    if (is_old_incarnation(connection, connection->remote_incarnation)) {
         SasConnection_Close(connection, SAS_PEER_OLD_INCARNATION);
         return;
     }
-    /* Guards against a call that somebody between the two ends repeats: it
-     * would be a second loan. The session keeps it to this connection, and
-     * there its xid has been used. */
+    /* Guards against a call that is replayed on the path, which would be a
+     * second loan. Its digest is valid on this connection only, where its xid
+     * was already used. */
     if (!connection->outgoing && message->xid <= connection->last_xid) {
         SasConnection_Close(connection, SAS_PEER_REPLAYED);
         return;
     }
     connection->received_ms = SasPeer_GetNow();
     connection->received++;
-    SasMembership_NoteDirect(&peer->membership, connection->seat,
+    SasMembership_NoteDirect(&peer->membership, connection->member_id,
                              connection->remote_incarnation,
                              connection->received_ms);
     if (connection->outgoing) {
-        SasCall_TakeReply(connection, message);
+        SasCall_HandleReply(connection, message);
         return;
     }
     connection->last_xid = message->xid;
     SasPeer_OnCall(connection, message);
 }
 
-/* Guards against a process that was paused, was replaced by a new one for
- * the same seat and wakes up: what it asks for, or answers, is of a state
- * that nobody counts with any more. */
+/* Guards against a process that was paused, was replaced by a new one for the
+ * same member and resumes: its calls and answers are based on outdated
+ * state. */
 static bool
-is_old(const struct sas_connection *connection, uint64_t incarnation)
+is_old_incarnation(const struct sas_connection *connection,
+                   uint64_t incarnation)
 {
     const struct sas_peer *peer = connection->peer;
-    return peer->membership.members[connection->seat].incarnation >
+    return peer->membership.members[connection->member_id].incarnation >
            incarnation;
 }
 
-/* The incarnation of the caller of HELLO, or the higher one that is known:
- * the reply names it, so that an old process learns that it was replaced. */
+/* The incarnation of the caller of HELLO, or a higher one if known: the reply
+ * contains it, so that an old process learns that it was replaced. */
 static uint64_t
-get_newest(const struct sas_connection *connection,
-           const struct sas_rpc_identity *identity)
+get_newest_incarnation(const struct sas_connection *connection,
+                       const struct sas_rpc_identity *identity)
 {
     const struct sas_peer *peer = connection->peer;
     return MAX(identity->sender_incarnation,
-               peer->membership.members[connection->seat].incarnation);
+               peer->membership.members[connection->member_id].incarnation);
 }
 
 static void
-note_replaced(struct sas_peer *peer, uint64_t incarnation)
+note_newer_process(struct sas_peer *peer, uint64_t incarnation)
 {
-    struct sas_member_news news = {.seat = peer->own_seat,
+    struct sas_member_news news = {.seat = peer->own_id,
                                    .incarnation = incarnation};
     SasMembership_Merge(&peer->membership, &news, SasPeer_GetNow());
 }
@@ -487,8 +490,8 @@
 static bool
 may_accept(struct sas_peer *peer, struct sas_connection *connection)
 {
-    int seats = 0;
-    int same = 0;
+    int members = 0;
+    int same_address = 0;
     if (get_remote_address(connection)) {
         for (int i = 0; i < peer->model->vm_count; i++) {
             struct sockaddr_storage address;
@@ -496,20 +499,20 @@
             if (SasConnection_ParseAddress(&peer->model->vms[i].peer,
                                            &address) == 0) {
                 pack_address(&address, packed);
-                seats += memcmp(packed, connection->address, 16) == 0;
+                members += memcmp(packed, connection->address, 16) == 0;
             }
         }
     }
-    if (seats == 0) {
+    if (members == 0) {
         SasConnection_Close(connection, SAS_PEER_REFUSED_ADDRESS);
         return false;
     }
     for (guint i = 0; i < peer->accepted->len; i++) {
         struct sas_connection *other = peer->accepted->pdata[i];
-        same += memcmp(other->address, connection->address, 16) == 0;
+        same_address += memcmp(other->address, connection->address, 16) == 0;
     }
     int total = 2 * peer->model->vm_count + SasPeer_SPARE_CONNECTIONS;
-    if (same >= seats * SasPeer_CONNECTIONS_PER_SEAT ||
+    if (same_address >= members * SasPeer_CONNECTIONS_PER_SEAT ||
         (int)peer->accepted->len >= total) {
         SasConnection_Close(connection, SAS_PEER_REFUSED_LIMIT);
         return false;
--- a/packages/peer/src/gossip.c
+++ b/packages/peer/src/gossip.c
@@ -4,32 +4,34 @@
 
 #define RUMOR_TOKENS_PER_ROUND 0.5
 
-/* An exchange or fetch under way. */
-struct exchange {
+/* Context of a pending gossip call or config fetch. */
+struct pending_call {
     struct sas_peer *peer;
-    int seat;
+    int member_id;
     SasPeer_AnswerFn *callback;
     void *context;
 };
 
 static void on_round(uv_timer_t *timer);
 static void on_rumor(uv_timer_t *timer);
-static void exchange_with_some(struct sas_peer *peer, int count);
-static void start_exchange(struct sas_peer *peer, int seat);
+static void gossip_with_random_members(struct sas_peer *peer, int count);
+static void start_gossip(struct sas_peer *peer, int member_id);
 static void on_gossip_answer(void *context, const struct sas_error *error,
                              const union sas_proto_body *body);
-static void note_silence(struct sas_peer *peer, int seat);
+static void note_timeout(struct sas_peer *peer, int member_id);
 static void refill_rumor_tokens(struct sas_peer *peer);
-static int merge_seats(struct sas_peer *peer, int seat,
-                       const struct sas_rpc_gossip *gossip);
+static int merge_members(struct sas_peer *peer, int member_id,
+                         const struct sas_rpc_gossip *gossip);
 static void note_own_version(struct sas_peer *peer, uint64_t version);
 static bool is_newer(struct sas_peer *peer, uint64_t version);
-static void fetch_config(struct sas_peer *peer, int seat);
+static void fetch_config(struct sas_peer *peer, int member_id);
 static void on_config_answer(void *context, const struct sas_error *error,
                              const union sas_proto_body *body);
-static void tell_some(struct sas_peer *peer, uint32_t procedure,
-                      const union sas_proto_body *body, int count);
-static struct exchange *new_exchange(struct sas_peer *peer, int seat);
+static void send_to_random_members(struct sas_peer *peer, uint32_t procedure,
+                                   const union sas_proto_body *body,
+                                   int count);
+static struct pending_call *new_pending_call(struct sas_peer *peer,
+                                             int member_id);
 
 /* Start and end */
 
@@ -40,7 +42,7 @@
                            &peer->membership.times);
     int64_t interval_ms = peer->membership.times.interval_ms;
     for (int i = 0; i < SasPeer_MAX_FETCHES; i++) {
-        peer->fetch_seats[i] = SasModel_NONE;
+        peer->fetching_from[i] = SasModel_NONE;
     }
     peer->rumor_tokens = SasPeer_RUMOR_BURST;
     peer->rumor_refill_ms = SasPeer_GetNow();
@@ -59,7 +61,7 @@
 /* Public calls */
 
 int
-SasPeer_AskGossip(struct sas_peer *peer, int seat, int64_t timeout_ms,
+SasPeer_AskGossip(struct sas_peer *peer, int member_id, int64_t timeout_ms,
                   SasPeer_AnswerFn *callback, void *context,
                   struct sas_error *error)
 {
@@ -67,20 +69,20 @@
     union sas_proto_body body;
     memset(&body, 0, sizeof(body));
     SasGossip_Fill(peer, &body.gossip, seats);
-    struct exchange *exchange = new_exchange(peer, seat);
-    exchange->callback = callback;
-    exchange->context = context;
-    if (SasCall_Start(peer, seat, SAS_RPC_GOSSIP, &body, timeout_ms,
-                      on_gossip_answer, exchange, error) < 0) {
-        g_free(exchange);
+    struct pending_call *pending = new_pending_call(peer, member_id);
+    pending->callback = callback;
+    pending->context = context;
+    if (SasCall_Start(peer, member_id, SAS_RPC_GOSSIP, &body, timeout_ms,
+                      on_gossip_answer, pending, error) < 0) {
+        g_free(pending);
         return -1;
     }
     return 0;
 }
 
-/* Guards against a storm: with many nodes that all learn things, each change
- * would start exchanges everywhere. Rounds out of turn cost a token; without
- * one the change waits for the next regular round, which carries it too. */
+/* Guards against a gossip storm: with many nodes, each change would start
+ * calls at all of them. An extra round costs a token; without one the change
+ * waits for the next regular round, which carries it too. */
 void
 SasPeer_NoteChange(struct sas_peer *peer)
 {
@@ -105,7 +107,8 @@
     memset(&body, 0, sizeof(body));
     body.quarantine.entries.entries_len = (u_int)count;
     body.quarantine.entries.entries_val = (struct sas_rpc_quarantine *)entries;
-    tell_some(peer, SAS_RPC_QUARANTINE, &body, SasPeer_RUMOR_FANOUT);
+    send_to_random_members(peer, SAS_RPC_QUARANTINE, &body,
+                           SasPeer_RUMOR_FANOUT);
 }
 
 void
@@ -118,7 +121,7 @@
     body.leaving.backends.backends_len = (u_int)count;
     body.leaving.backends.backends_val =
         (struct sas_rpc_leaving_backend *)backends;
-    tell_some(peer, SAS_RPC_LEAVE, &body, SasPeer_RUMOR_FANOUT);
+    send_to_random_members(peer, SAS_RPC_LEAVE, &body, SasPeer_RUMOR_FANOUT);
 }
 
 void
@@ -129,12 +132,12 @@
     }
     union sas_proto_body body;
     memset(&body, 0, sizeof(body));
-    body.leaving.seat = (u_int)peer->own_seat;
+    body.leaving.seat = (u_int)peer->own_id;
     body.leaving.incarnation = peer->incarnation;
-    tell_some(peer, SAS_RPC_LEAVE, &body, SasPeer_RUMOR_FANOUT);
+    send_to_random_members(peer, SAS_RPC_LEAVE, &body, SasPeer_RUMOR_FANOUT);
 }
 
-/* What is said and heard */
+/* Sending and applying gossip */
 
 void
 SasGossip_Fill(struct sas_peer *peer, struct sas_rpc_gossip *gossip,
@@ -148,23 +151,23 @@
         SasMembership_SetLeaving(&peer->membership);
     }
     note_own_version(peer, gossip->config_version);
-    const struct sas_member *self = &peer->membership.members[peer->own_seat];
-    gossip->seat = (u_int)peer->own_seat;
+    const struct sas_member *self = &peer->membership.members[peer->own_id];
+    gossip->seat = (u_int)peer->own_id;
     gossip->incarnation = peer->incarnation;
     gossip->state = self->leaving ? SAS_RPC_LEAVING : SAS_RPC_LIVE;
-    struct sas_member_news news[SasMembership_DIGEST_SEATS];
+    struct sas_member_news update[SasMembership_DIGEST_SEATS];
     int count = SasMembership_FillDigest(
-        &peer->membership, peer->options.random, SasPeer_GetNow(), news,
+        &peer->membership, peer->options.random, SasPeer_GetNow(), update,
         SasMembership_DIGEST_SEATS);
     for (int i = 0; i < count; i++) {
         seats[i] = (struct sas_rpc_seat){
-            .seat = (u_int)news[i].seat,
-            .state = news[i].leaving ? SAS_RPC_LEAVING : SAS_RPC_LIVE,
-            .incarnation = news[i].incarnation,
-            .config_version = news[i].config_version,
-            .heartbeat = news[i].heartbeat,
-            .doubt = news[i].doubt,
-            .age_ms = (u_int)MIN(news[i].age_ms, (int64_t)UINT32_MAX),
+            .seat = (u_int)update[i].seat,
+            .state = update[i].leaving ? SAS_RPC_LEAVING : SAS_RPC_LIVE,
+            .incarnation = update[i].incarnation,
+            .config_version = update[i].config_version,
+            .heartbeat = update[i].heartbeat,
+            .doubt = update[i].doubt,
+            .age_ms = (u_int)MIN(update[i].age_ms, (int64_t)UINT32_MAX),
         };
     }
     gossip->seats.seats_len = (u_int)count;
@@ -172,14 +175,14 @@
 }
 
 void
-SasGossip_Take(struct sas_peer *peer, int seat,
-               const struct sas_rpc_gossip *gossip)
+SasGossip_Apply(struct sas_peer *peer, int member_id,
+                const struct sas_rpc_gossip *gossip)
 {
-    int changes = merge_seats(peer, seat, gossip);
+    int changes = merge_members(peer, member_id, gossip);
     bool is_new = peer->handler->take_gossip != NULL &&
-                  peer->handler->take_gossip(peer->handler, seat, gossip);
+                  peer->handler->take_gossip(peer->handler, member_id, gossip);
     if (is_newer(peer, gossip->config_version)) {
-        fetch_config(peer, seat);
+        fetch_config(peer, member_id);
     }
     if (is_new || (changes & SAS_CHANGE_MEMBER) != 0) {
         SasPeer_NoteChange(peer);
@@ -187,13 +190,13 @@
 }
 
 void
-SasGossip_TakeQuarantines(struct sas_peer *peer, int seat,
-                          const struct sas_rpc_quarantine_list *list)
+SasGossip_ApplyQuarantines(struct sas_peer *peer, int member_id,
+                           const struct sas_rpc_quarantine_list *list)
 {
     if (peer->handler->take_quarantines == NULL) {
         return;
     }
-    if (peer->handler->take_quarantines(peer->handler, seat,
+    if (peer->handler->take_quarantines(peer->handler, member_id,
                                         list->entries.entries_val,
                                         (int)list->entries.entries_len)) {
         SasPeer_SendQuarantines(peer, list->entries.entries_val,
@@ -202,24 +205,26 @@
 }
 
 void
-SasGossip_TakeLeaving(struct sas_peer *peer, int seat,
-                      const struct sas_rpc_leaving *leaving)
+SasGossip_ApplyLeaving(struct sas_peer *peer, int member_id,
+                       const struct sas_rpc_leaving *leaving)
 {
-    bool is_new = peer->handler->take_leaving != NULL &&
-                  peer->handler->take_leaving(peer->handler, seat, leaving);
+    bool is_new =
+        peer->handler->take_leaving != NULL &&
+        peer->handler->take_leaving(peer->handler, member_id, leaving);
     if (leaving->seat < (u_int)peer->model->vm_count &&
-        leaving->seat != (u_int)peer->own_seat) {
-        struct sas_member_news news = {
+        leaving->seat != (u_int)peer->own_id) {
+        struct sas_member_news update = {
             .seat = (int)leaving->seat,
             .leaving = true,
             .incarnation = leaving->incarnation,
         };
-        is_new |= SasMembership_Merge(&peer->membership, &news,
+        is_new |= SasMembership_Merge(&peer->membership, &update,
                                       SasPeer_GetNow()) != 0;
     }
     if (is_new) {
         union sas_proto_body body = {.leaving = *leaving};
-        tell_some(peer, SAS_RPC_LEAVE, &body, SasPeer_RUMOR_FANOUT);
+        send_to_random_members(peer, SAS_RPC_LEAVE, &body,
+                               SasPeer_RUMOR_FANOUT);
     }
 }
 
@@ -231,7 +236,7 @@
     struct sas_peer *peer = timer->data;
     SasPeer_Count(peer, SAS_PEER_ROUNDS);
     SasMembership_Beat(&peer->membership, SasPeer_GetNow());
-    exchange_with_some(peer, peer->membership.times.fanout);
+    gossip_with_random_members(peer, peer->membership.times.fanout);
 }
 
 static void
@@ -240,53 +245,53 @@
     struct sas_peer *peer = timer->data;
     peer->rumor_waiting = false;
     SasPeer_Count(peer, SAS_PEER_RUMORS);
-    exchange_with_some(peer, SasPeer_RUMOR_FANOUT);
+    gossip_with_random_members(peer, SasPeer_RUMOR_FANOUT);
 }
 
 static void
-exchange_with_some(struct sas_peer *peer, int count)
+gossip_with_random_members(struct sas_peer *peer, int count)
 {
     int seats[SasPeer_MAX_CALLS];
     count = SasMembership_PickPeers(&peer->membership, peer->options.random,
                                     SasPeer_GetNow(), seats,
                                     MIN(count, SasPeer_MAX_CALLS));
     for (int i = 0; i < count; i++) {
-        start_exchange(peer, seats[i]);
+        start_gossip(peer, seats[i]);
     }
 }
 
 static void
-start_exchange(struct sas_peer *peer, int seat)
+start_gossip(struct sas_peer *peer, int member_id)
 {
-    SasPeer_AskGossip(peer, seat, 0, NULL, NULL, NULL);
+    SasPeer_AskGossip(peer, member_id, 0, NULL, NULL, NULL);
 }
 
 static void
 on_gossip_answer(void *context, const struct sas_error *error,
                  const union sas_proto_body *body)
 {
-    g_autofree struct exchange *exchange = context;
-    struct sas_peer *peer = exchange->peer;
+    g_autofree struct pending_call *pending = context;
+    struct sas_peer *peer = pending->peer;
     if (!peer->closing && error == NULL) {
-        SasGossip_Take(peer, exchange->seat, &body->gossip);
+        SasGossip_Apply(peer, pending->member_id, &body->gossip);
     }
     else if (!peer->closing && error->code != SAS_EINVAL) {
-        note_silence(peer, exchange->seat);
+        note_timeout(peer, pending->member_id);
     }
-    if (exchange->callback != NULL) {
-        exchange->callback(exchange->context, error, body);
+    if (pending->callback != NULL) {
+        pending->callback(pending->context, error, body);
     }
 }
 
 static void
-note_silence(struct sas_peer *peer, int seat)
+note_timeout(struct sas_peer *peer, int member_id)
 {
-    if (SasMembership_NoteSilence(&peer->membership, seat, SasPeer_GetNow()) !=
-        0) {
+    if (SasMembership_NoteSilence(&peer->membership, member_id,
+                                  SasPeer_GetNow()) != 0) {
         SasPeer_NoteChange(peer);
     }
-    else if (SasMembership_MayRetry(&peer->membership, seat)) {
-        start_exchange(peer, seat);
+    else if (SasMembership_MayRetry(&peer->membership, member_id)) {
+        start_gossip(peer, member_id);
     }
 }
 
@@ -303,8 +308,8 @@
 }
 
 static int
-merge_seats(struct sas_peer *peer, int seat,
-            const struct sas_rpc_gossip *gossip)
+merge_members(struct sas_peer *peer, int member_id,
+              const struct sas_rpc_gossip *gossip)
 {
     int64_t now_ms = SasPeer_GetNow();
     int changes = 0;
@@ -313,7 +318,7 @@
         if (row->seat >= (u_int)peer->model->vm_count) {
             continue;
         }
-        struct sas_member_news news = {
+        struct sas_member_news update = {
             .seat = (int)row->seat,
             .leaving = row->state == SAS_RPC_LEAVING,
             .incarnation = row->incarnation,
@@ -322,9 +327,9 @@
             .doubt = row->doubt,
             .age_ms = row->age_ms,
         };
-        changes |= SasMembership_Merge(&peer->membership, &news, now_ms);
+        changes |= SasMembership_Merge(&peer->membership, &update, now_ms);
     }
-    SasMembership_NoteDirect(&peer->membership, seat, gossip->incarnation,
+    SasMembership_NoteDirect(&peer->membership, member_id, gossip->incarnation,
                              now_ms);
     return changes;
 }
@@ -338,7 +343,7 @@
     SasMembership_SetVersion(&peer->membership, version);
 }
 
-/* The owner may have adopted a version since it was last asked. */
+/* The owner may have adopted a version since the last own gossip. */
 static bool
 is_newer(struct sas_peer *peer, uint64_t version)
 {
@@ -352,27 +357,27 @@
 }
 
 static void
-fetch_config(struct sas_peer *peer, int seat)
+fetch_config(struct sas_peer *peer, int member_id)
 {
-    int place = SasModel_NONE;
+    int free_index = SasModel_NONE;
     for (int i = 0; i < SasPeer_MAX_FETCHES; i++) {
-        if (peer->fetch_seats[i] == seat) {
+        if (peer->fetching_from[i] == member_id) {
             return;
         }
-        if (peer->fetch_seats[i] == SasModel_NONE) {
-            place = i;
+        if (peer->fetching_from[i] == SasModel_NONE) {
+            free_index = i;
         }
     }
-    if (place == SasModel_NONE) {
+    if (free_index == SasModel_NONE) {
         return;
     }
-    struct exchange *exchange = new_exchange(peer, seat);
-    if (SasPeer_AskConfig(peer, seat, peer->own_version, 0, on_config_answer,
-                          exchange, NULL) < 0) {
-        g_free(exchange);
+    struct pending_call *pending = new_pending_call(peer, member_id);
+    if (SasPeer_AskConfig(peer, member_id, peer->own_version, 0,
+                          on_config_answer, pending, NULL) < 0) {
+        g_free(pending);
         return;
     }
-    peer->fetch_seats[place] = seat;
+    peer->fetching_from[free_index] = member_id;
     SasPeer_Count(peer, SAS_PEER_FETCHES);
 }
 
@@ -380,18 +385,18 @@
 on_config_answer(void *context, const struct sas_error *error,
                  const union sas_proto_body *body)
 {
-    g_autofree struct exchange *exchange = context;
-    struct sas_peer *peer = exchange->peer;
+    g_autofree struct pending_call *pending = context;
+    struct sas_peer *peer = pending->peer;
     for (int i = 0; i < SasPeer_MAX_FETCHES; i++) {
-        if (peer->fetch_seats[i] == exchange->seat) {
-            peer->fetch_seats[i] = SasModel_NONE;
+        if (peer->fetching_from[i] == pending->member_id) {
+            peer->fetching_from[i] = SasModel_NONE;
         }
     }
     if (error != NULL || peer->closing || peer->handler->take_config == NULL ||
         body->config.number <= peer->own_version) {
         return;
     }
-    if (peer->handler->take_config(peer->handler, exchange->seat,
+    if (peer->handler->take_config(peer->handler, pending->member_id,
                                    &body->config)) {
         SasPeer_Count(peer, SAS_PEER_CONFIGS_TAKEN);
         SasPeer_NoteChange(peer);
@@ -401,8 +406,8 @@
 /* Helpers */
 
 static void
-tell_some(struct sas_peer *peer, uint32_t procedure,
-          const union sas_proto_body *body, int count)
+send_to_random_members(struct sas_peer *peer, uint32_t procedure,
+                       const union sas_proto_body *body, int count)
 {
     int seats[SasPeer_MAX_CALLS];
     count = SasMembership_PickPeers(&peer->membership, peer->options.random,
@@ -413,11 +418,11 @@
     }
 }
 
-static struct exchange *
-new_exchange(struct sas_peer *peer, int seat)
+static struct pending_call *
+new_pending_call(struct sas_peer *peer, int member_id)
 {
-    struct exchange *exchange = g_new0(struct exchange, 1);
-    exchange->peer = peer;
-    exchange->seat = seat;
-    return exchange;
+    struct pending_call *pending = g_new0(struct pending_call, 1);
+    pending->peer = peer;
+    pending->member_id = member_id;
+    return pending;
 }
--- a/packages/peer/src/peer.c
+++ b/packages/peer/src/peer.c
@@ -47,7 +47,7 @@
 };
 
 static struct sas_peer *new_peer(uv_loop_t *loop,
-                                 const struct sas_model *model, int own_seat,
+                                 const struct sas_model *model, int own_id,
                                  uint64_t incarnation,
                                  struct sas_peer_handler *handler,
                                  const struct sas_peer_options *options);
@@ -56,20 +56,20 @@
 static void on_tick(uv_timer_t *timer);
 static void on_handle_closed(uv_handle_t *handle);
 static void close_connections(struct sas_peer *peer);
-static void check_route(struct sas_peer *peer, int seat, int64_t now_ms);
-static void close_superseded(struct sas_connection *connection);
+static void check_link(struct sas_peer *peer, int member_id, int64_t now_ms);
+static void close_oldest_connection(struct sas_connection *connection);
 static int serve(struct sas_connection *connection,
                  const struct sas_proto_message *call,
                  struct sas_proto_message *reply, struct sas_rpc_seat *seats);
 static int serve_config(struct sas_peer *peer, uint64_t have,
                         struct sas_rpc_config *config);
-static int serve_borrow(struct sas_peer *peer, int seat,
+static int serve_borrow(struct sas_peer *peer, int member_id,
                         const struct sas_rpc_borrow *borrow,
                         struct sas_rpc_grant *grant);
-static int serve_disown(struct sas_peer *peer, int seat,
+static int serve_disown(struct sas_peer *peer, int member_id,
                         const struct sas_rpc_disown_list *rows,
                         struct sas_rpc_disown_list *clear);
-static int serve_return(struct sas_peer *peer, int seat,
+static int serve_return(struct sas_peer *peer, int member_id,
                         const struct sas_rpc_return *back);
 
 /* Start and end */
@@ -86,33 +86,33 @@
 
 int
 SasPeer_Open(struct sas_peer **peer, uv_loop_t *loop,
-             const struct sas_model *model, int own_seat, const uint8_t *key,
+             const struct sas_model *model, int own_id, const uint8_t *key,
              size_t key_size, uint64_t incarnation,
              struct sas_peer_handler *handler,
              const struct sas_peer_options *options, struct sas_error *error)
 {
     *peer = NULL;
-    if (own_seat < 0 || own_seat >= model->vm_count || incarnation == 0 ||
+    if (own_id < 0 || own_id >= model->vm_count || incarnation == 0 ||
         options->random == NULL) {
         SasError_Set(error, SAS_EINVAL, "peer.open", "",
-                     "no seat %d, no incarnation or no random numbers",
-                     own_seat);
+                     "no member %d, incarnation 0 or no random generator",
+                     own_id);
         return -1;
     }
-    struct sas_proto_key *ready = SasProto_NewKey(key, key_size, error);
-    if (ready == NULL) {
+    struct sas_proto_key *proto_key = SasProto_NewKey(key, key_size, error);
+    if (proto_key == NULL) {
         return -1;
     }
-    struct sas_peer *made =
-        new_peer(loop, model, own_seat, incarnation, handler, options);
-    made->key = ready;
-    if (listen_on(made, error) < 0) {
-        SasPeer_Close(made, NULL, NULL);
+    struct sas_peer *created =
+        new_peer(loop, model, own_id, incarnation, handler, options);
+    created->key = proto_key;
+    if (listen_on(created, error) < 0) {
+        SasPeer_Close(created, NULL, NULL);
         return -1;
     }
-    uv_timer_start(&made->tick, on_tick, TICK_MS, TICK_MS);
-    SasGossip_Start(made);
-    *peer = made;
+    uv_timer_start(&created->tick, on_tick, TICK_MS, TICK_MS);
+    SasGossip_Start(created);
+    *peer = created;
     return 0;
 }
 
@@ -135,7 +135,7 @@
     uv_close((uv_handle_t *)&peer->rumor, on_handle_closed);
 }
 
-/* What it knows */
+/* State */
 
 int64_t
 SasPeer_GetNow(void)
@@ -166,49 +166,49 @@
 /* Calls */
 
 int
-SasPeer_AskConfig(struct sas_peer *peer, int seat, uint64_t have,
+SasPeer_AskConfig(struct sas_peer *peer, int member_id, uint64_t have,
                   int64_t timeout_ms, SasPeer_AnswerFn *callback,
                   void *context, struct sas_error *error)
 {
     union sas_proto_body body = {.fetch = {.have_version = have}};
-    return SasCall_Start(peer, seat, SAS_RPC_FETCH_CONFIG, &body, timeout_ms,
-                         callback, context, error);
+    return SasCall_Start(peer, member_id, SAS_RPC_FETCH_CONFIG, &body,
+                         timeout_ms, callback, context, error);
 }
 
 int
-SasPeer_AskBorrow(struct sas_peer *peer, int seat,
+SasPeer_AskBorrow(struct sas_peer *peer, int member_id,
                   const struct sas_rpc_borrow *borrow, int64_t timeout_ms,
                   SasPeer_AnswerFn *callback, void *context,
                   struct sas_error *error)
 {
     union sas_proto_body body = {.borrow = *borrow};
-    return SasCall_Start(peer, seat, SAS_RPC_BORROW, &body, timeout_ms,
+    return SasCall_Start(peer, member_id, SAS_RPC_BORROW, &body, timeout_ms,
                          callback, context, error);
 }
 
 int
-SasPeer_AskReturn(struct sas_peer *peer, int seat,
+SasPeer_AskReturn(struct sas_peer *peer, int member_id,
                   const struct sas_rpc_return *back, int64_t timeout_ms,
                   SasPeer_AnswerFn *callback, void *context,
                   struct sas_error *error)
 {
     union sas_proto_body body = {.give_back = *back};
-    return SasCall_Start(peer, seat, SAS_RPC_RETURN, &body, timeout_ms,
+    return SasCall_Start(peer, member_id, SAS_RPC_RETURN, &body, timeout_ms,
                          callback, context, error);
 }
 
 int
-SasPeer_AskDisown(struct sas_peer *peer, int seat,
+SasPeer_AskDisown(struct sas_peer *peer, int member_id,
                   const struct sas_rpc_disown_list *rows, int64_t timeout_ms,
                   SasPeer_AnswerFn *callback, void *context,
                   struct sas_error *error)
 {
     union sas_proto_body body = {.disown = *rows};
-    return SasCall_Start(peer, seat, SAS_RPC_DISOWN, &body, timeout_ms,
+    return SasCall_Start(peer, member_id, SAS_RPC_DISOWN, &body, timeout_ms,
                          callback, context, error);
 }
 
-/* Between the modules */
+/* Called by the other modules */
 
 void
 SasPeer_Count(struct sas_peer *peer, enum sas_peer_counter counter)
@@ -228,7 +228,7 @@
     SasMembership_Close(&peer->membership);
     g_ptr_array_free(peer->accepted, TRUE);
     g_hash_table_destroy(peer->calls);
-    g_free(peer->routes);
+    g_free(peer->links);
     g_free(peer);
     if (done != NULL) {
         done(context);
@@ -239,13 +239,13 @@
 SasPeer_OnOpened(struct sas_connection *connection)
 {
     struct sas_peer *peer = connection->peer;
-    struct sas_route *route = &peer->routes[connection->seat];
-    route->failures = 0;
-    if (route->doubted != NULL &&
-        route->doubted->received == route->doubted_received) {
-        SasConnection_Close(route->doubted, SAS_PEER_CONNECTION_SILENT);
+    struct sas_peer_link *link = &peer->links[connection->member_id];
+    link->failures = 0;
+    if (link->stalled != NULL &&
+        link->stalled->received == link->stalled_received) {
+        SasConnection_Close(link->stalled, SAS_PEER_CONNECTION_SILENT);
     }
-    SasCall_SendWaiting(peer, connection->seat);
+    SasCall_SendPending(peer, connection->member_id);
 }
 
 void
@@ -259,12 +259,12 @@
         .procedure = message->procedure,
         .status = SUCCESS,
     };
-    close_superseded(connection);
+    close_oldest_connection(connection);
     struct sas_rpc_seat seats[SasMembership_DIGEST_SEATS];
     bool decoded = false;
     if (message->procedure <= SAS_RPC_HELLO ||
         message->procedure > SAS_RPC_DISOWN) {
-        reply.procedure = SAS_RPC_RETURN; /* any: no body is sent */
+        reply.procedure = SAS_RPC_RETURN; /* any, as no body is sent */
         reply.status = PROC_UNAVAIL;
     }
     else if (SasProto_Decode(message, NULL) < 0) {
@@ -295,12 +295,12 @@
         g_ptr_array_remove_fast(peer->accepted, connection);
         return;
     }
-    struct sas_route *route = &peer->routes[connection->seat];
-    if (route->current == connection) {
-        route->current = NULL;
+    struct sas_peer_link *link = &peer->links[connection->member_id];
+    if (link->current == connection) {
+        link->current = NULL;
     }
-    if (route->doubted == connection) {
-        route->doubted = NULL;
+    if (link->stalled == connection) {
+        link->stalled = NULL;
     }
     SasCall_FailConnection(connection);
 }
@@ -308,23 +308,23 @@
 /* Task */
 
 static struct sas_peer *
-new_peer(uv_loop_t *loop, const struct sas_model *model, int own_seat,
+new_peer(uv_loop_t *loop, const struct sas_model *model, int own_id,
          uint64_t incarnation, struct sas_peer_handler *handler,
          const struct sas_peer_options *options)
 {
     struct sas_peer *peer = g_new0(struct sas_peer, 1);
     peer->loop = loop;
     peer->model = model;
-    peer->own_seat = own_seat;
+    peer->own_id = own_id;
     peer->incarnation = incarnation;
     peer->handler = handler;
     peer->options = *options;
     peer->last_xid = SasPeer_HELLO_XID;
-    peer->routes = g_new0(struct sas_route, model->vm_count);
+    peer->links = g_new0(struct sas_peer_link, model->vm_count);
     peer->accepted = g_ptr_array_new();
     peer->calls = g_hash_table_new(NULL, NULL);
-    SasMembership_Init(&peer->membership, model->vm_count, own_seat,
-                       incarnation, SasPeer_GetNow());
+    SasMembership_Init(&peer->membership, model->vm_count, own_id, incarnation,
+                       SasPeer_GetNow());
     uv_tcp_init(loop, &peer->listener);
     uv_timer_init(loop, &peer->tick);
     uv_timer_init(loop, &peer->round);
@@ -346,10 +346,10 @@
     }
     else {
         struct sockaddr_storage address;
-        if (SasConnection_ParseAddress(&peer->model->vms[peer->own_seat].peer,
+        if (SasConnection_ParseAddress(&peer->model->vms[peer->own_id].peer,
                                        &address) < 0) {
             SasError_Set(error, SAS_EINVAL, "peer.listen", "",
-                         "the own address is not an IP number");
+                         "the own address is not an IP address");
             return -1;
         }
         result = uv_tcp_bind(&peer->listener, (struct sockaddr *)&address, 0);
@@ -380,9 +380,9 @@
     struct sas_peer *peer = timer->data;
     int64_t now_ms = SasPeer_GetNow();
     SasCall_CheckDeadlines(peer, now_ms);
-    for (int seat = 0; seat < peer->model->vm_count && !peer->closing;
-         seat++) {
-        check_route(peer, seat, now_ms);
+    for (int member_id = 0;
+         member_id < peer->model->vm_count && !peer->closing; member_id++) {
+        check_link(peer, member_id, now_ms);
     }
     for (guint i = peer->accepted->len; i > 0 && !peer->closing; i--) {
         SasConnection_CheckTimeout(peer->accepted->pdata[i - 1], now_ms,
@@ -399,13 +399,13 @@
 static void
 close_connections(struct sas_peer *peer)
 {
-    for (int seat = 0; seat < peer->model->vm_count; seat++) {
-        struct sas_route *route = &peer->routes[seat];
-        if (route->current != NULL) {
-            SasConnection_Close(route->current, SAS_PEER_SUPERSEDED);
+    for (int member_id = 0; member_id < peer->model->vm_count; member_id++) {
+        struct sas_peer_link *link = &peer->links[member_id];
+        if (link->current != NULL) {
+            SasConnection_Close(link->current, SAS_PEER_SUPERSEDED);
         }
-        if (route->doubted != NULL) {
-            SasConnection_Close(route->doubted, SAS_PEER_SUPERSEDED);
+        if (link->stalled != NULL) {
+            SasConnection_Close(link->stalled, SAS_PEER_SUPERSEDED);
         }
     }
     while (peer->accepted->len > 0) {
@@ -414,42 +414,42 @@
 }
 
 static void
-check_route(struct sas_peer *peer, int seat, int64_t now_ms)
+check_link(struct sas_peer *peer, int member_id, int64_t now_ms)
 {
-    struct sas_route *route = &peer->routes[seat];
-    if (route->doubted != NULL && route->current != NULL &&
-        route->current->state == SAS_CONNECTION_OPEN &&
-        !SasCall_IsWaiting(route, route->doubted)) {
-        SasConnection_Close(route->doubted, SAS_PEER_SUPERSEDED);
+    struct sas_peer_link *link = &peer->links[member_id];
+    if (link->stalled != NULL && link->current != NULL &&
+        link->current->state == SAS_CONNECTION_OPEN &&
+        !SasCall_HasPending(link, link->stalled)) {
+        SasConnection_Close(link->stalled, SAS_PEER_SUPERSEDED);
     }
-    if (route->doubted != NULL) {
-        SasConnection_CheckTimeout(route->doubted, now_ms, false);
+    if (link->stalled != NULL) {
+        SasConnection_CheckTimeout(link->stalled, now_ms, false);
     }
-    if (route->current != NULL) {
-        SasConnection_CheckTimeout(route->current, now_ms,
-                                   SasCall_IsWaiting(route, route->current));
+    if (link->current != NULL) {
+        SasConnection_CheckTimeout(link->current, now_ms,
+                                   SasCall_HasPending(link, link->current));
     }
 }
 
-/* A seat has at most two connections: the newest, and one that it may still
- * read answers from. Guards against a peer that reconnects because something
- * between the two ends forgets connections: the forgotten ones stay open on
- * this side and would use up what is accepted from its address. Only a call
- * that proves the session counts, since a HELLO can be a recorded one. */
+/* Keeps at most two accepted connections of a member: the newest one, and one
+ * on which it may still read answers. Guards against a peer that reconnects as
+ * a middlebox has forgotten its connections: these stay open here and would
+ * use up the limit for its address. Only connections with a verified call
+ * count, as a HELLO can be a replay. */
 static void
-close_superseded(struct sas_connection *connection)
+close_oldest_connection(struct sas_connection *connection)
 {
     struct sas_peer *peer = connection->peer;
-    if (connection->proven) {
+    if (connection->verified) {
         return;
     }
-    connection->proven = true;
+    connection->verified = true;
     struct sas_connection *oldest = NULL;
     int older = 0;
     for (guint i = 0; i < peer->accepted->len; i++) {
         struct sas_connection *other = peer->accepted->pdata[i];
-        if (other == connection || other->seat != connection->seat ||
-            !other->proven) {
+        if (other == connection || other->member_id != connection->member_id ||
+            !other->verified) {
             continue;
         }
         older++;
@@ -462,35 +462,35 @@
     }
 }
 
-/* Answers to calls of others: 0, or -1 if the call is refused */
+/* Answers to calls of peers: 0, or -1 to refuse the call */
 
 static int
 serve(struct sas_connection *connection, const struct sas_proto_message *call,
       struct sas_proto_message *reply, struct sas_rpc_seat *seats)
 {
     struct sas_peer *peer = connection->peer;
-    int seat = connection->seat;
+    int member_id = connection->member_id;
     switch (call->procedure) {
     case SAS_RPC_GOSSIP:
-        SasGossip_Take(peer, seat, &call->body.gossip);
+        SasGossip_Apply(peer, member_id, &call->body.gossip);
         SasGossip_Fill(peer, &reply->body.gossip, seats);
         return 0;
     case SAS_RPC_FETCH_CONFIG:
         return serve_config(peer, call->body.fetch.have_version,
                             &reply->body.config);
     case SAS_RPC_BORROW:
-        return serve_borrow(peer, seat, &call->body.borrow,
+        return serve_borrow(peer, member_id, &call->body.borrow,
                             &reply->body.grant);
     case SAS_RPC_RETURN:
-        return serve_return(peer, seat, &call->body.give_back);
+        return serve_return(peer, member_id, &call->body.give_back);
     case SAS_RPC_DISOWN:
-        return serve_disown(peer, seat, &call->body.disown,
+        return serve_disown(peer, member_id, &call->body.disown,
                             &reply->body.disown);
     case SAS_RPC_QUARANTINE:
-        SasGossip_TakeQuarantines(peer, seat, &call->body.quarantine);
+        SasGossip_ApplyQuarantines(peer, member_id, &call->body.quarantine);
         return 0;
     case SAS_RPC_LEAVE:
-        SasGossip_TakeLeaving(peer, seat, &call->body.leaving);
+        SasGossip_ApplyLeaving(peer, member_id, &call->body.leaving);
         return 0;
     default:
         return -1;
@@ -508,20 +508,21 @@
 }
 
 static int
-serve_borrow(struct sas_peer *peer, int seat,
+serve_borrow(struct sas_peer *peer, int member_id,
              const struct sas_rpc_borrow *borrow, struct sas_rpc_grant *grant)
 {
     if (peer->handler->answer_borrow == NULL) {
         return -1;
     }
     grant->loan = borrow->loan;
-    grant->granted = peer->handler->answer_borrow(peer->handler, seat, borrow);
+    grant->granted =
+        peer->handler->answer_borrow(peer->handler, member_id, borrow);
     return 0;
 }
 
-/* The reply takes over the call's rows, which go with the call. */
+/* The reply uses the call's rows, which are freed with the call. */
 static int
-serve_disown(struct sas_peer *peer, int seat,
+serve_disown(struct sas_peer *peer, int member_id,
              const struct sas_rpc_disown_list *rows,
              struct sas_rpc_disown_list *clear)
 {
@@ -529,16 +530,16 @@
         return -1;
     }
     *clear = *rows;
-    peer->handler->answer_disown(peer->handler, seat, clear);
+    peer->handler->answer_disown(peer->handler, member_id, clear);
     return 0;
 }
 
 static int
-serve_return(struct sas_peer *peer, int seat,
+serve_return(struct sas_peer *peer, int member_id,
              const struct sas_rpc_return *back)
 {
     if (peer->handler->take_return == NULL) {
         return -1;
     }
-    return peer->handler->take_return(peer->handler, seat, back);
+    return peer->handler->take_return(peer->handler, member_id, back);
 }
--- a/packages/peer/tests/test_peer.c
+++ b/packages/peer/tests/test_peer.c
@@ -12,11 +12,11 @@
 #include "sas/record.h"
 
 #define MAX_PEERS 9
-#define MAX_TURNS 200000 /* of the loop; each waits a few ms at most */
+#define MAX_TURNS 200000 /* of the loop; each blocks a few ms at most */
 
 static const uint8_t key[32] = "a shared key of the test, 32 by";
 
-/* One entry VM: a peer task and an owner that keeps a configuration. */
+/* One entry VM: a peer task and its owner with a configuration. */
 struct owner {
     struct sas_peer_handler handler;
     struct sas_peer *peer;
@@ -50,11 +50,11 @@
 }
 
 static bool
-take_gossip(struct sas_peer_handler *handler, int seat,
+take_gossip(struct sas_peer_handler *handler, int member_id,
             const struct sas_rpc_gossip *gossip)
 {
     struct owner *owner = (struct owner *)handler;
-    assert_int_equal(gossip->seat, seat);
+    assert_int_equal(gossip->seat, member_id);
     owner->load_seen += gossip->loads.loads_val[0].running;
     return false;
 }
@@ -73,33 +73,33 @@
 }
 
 static bool
-take_config(struct sas_peer_handler *handler, int seat,
+take_config(struct sas_peer_handler *handler, int member_id,
             const struct sas_rpc_config *config)
 {
     struct owner *owner = (struct owner *)handler;
-    (void)seat;
+    (void)member_id;
     assert_int_equal(config->bytes.bytes_len, 11);
     owner->version = config->number;
     return true;
 }
 
 static uint64_t
-answer_borrow(struct sas_peer_handler *handler, int seat,
+answer_borrow(struct sas_peer_handler *handler, int member_id,
               const struct sas_rpc_borrow *borrow)
 {
     struct owner *owner = (struct owner *)handler;
-    (void)seat;
+    (void)member_id;
     owner->borrow_calls++;
     owner->lent += borrow->wanted;
     return borrow->wanted;
 }
 
 static bool
-take_quarantines(struct sas_peer_handler *handler, int seat,
+take_quarantines(struct sas_peer_handler *handler, int member_id,
                  const struct sas_rpc_quarantine *entries, int count)
 {
     struct owner *owner = (struct owner *)handler;
-    (void)seat;
+    (void)member_id;
     assert_int_equal(entries[0].high, 77);
     bool is_new = owner->quarantines == 0;
     owner->quarantines = count;
@@ -107,11 +107,11 @@
 }
 
 static bool
-take_leaving(struct sas_peer_handler *handler, int seat,
+take_leaving(struct sas_peer_handler *handler, int member_id,
              const struct sas_rpc_leaving *leaving)
 {
     struct owner *owner = (struct owner *)handler;
-    (void)seat;
+    (void)member_id;
     bool is_new = owner->leaving_backends == 0;
     owner->leaving_backends += (int)leaving->backends.backends_len;
     return is_new && leaving->backends.backends_len > 0;
@@ -134,9 +134,9 @@
 }
 
 static void
-start_owner(int seat, uint64_t incarnation, const uint8_t *with_key)
+start_owner(int member_id, uint64_t incarnation, const uint8_t *with_key)
 {
-    struct owner *owner = &owners[seat];
+    struct owner *owner = &owners[member_id];
     struct sas_peer_options options;
     struct sas_error error;
     memset(owner, 0, sizeof(*owner));
@@ -149,16 +149,16 @@
         .take_quarantines = take_quarantines,
         .take_leaving = take_leaving,
     };
-    owner->random = g_rand_new_with_seed((guint32)seat + 1);
+    owner->random = g_rand_new_with_seed((guint32)member_id + 1);
     SasPeer_InitOptions(&options);
-    options.listen_fd = listeners[seat];
+    options.listen_fd = listeners[member_id];
     options.random = owner->random;
     options.interval_ms = interval_ms;
     options.call_timeout_ms = 300;
     options.hello_timeout_ms = 200;
-    assert_int_equal(SasPeer_Open(&owner->peer, &loop, &model, seat, with_key,
-                                  sizeof(key), incarnation, &owner->handler,
-                                  &options, &error),
+    assert_int_equal(SasPeer_Open(&owner->peer, &loop, &model, member_id,
+                                  with_key, sizeof(key), incarnation,
+                                  &owner->handler, &options, &error),
                      0);
 }
 
@@ -230,13 +230,13 @@
 }
 
 static bool
-all_see_all(void)
+all_are_live_at_all(void)
 {
     for (int i = 0; i < model.vm_count; i++) {
         const struct sas_membership *table =
             SasPeer_GetMembership(owners[i].peer);
-        for (int seat = 0; seat < model.vm_count; seat++) {
-            if (SasMembership_GetState(table, seat, SasPeer_GetNow()) !=
+        for (int member_id = 0; member_id < model.vm_count; member_id++) {
+            if (SasMembership_GetState(table, member_id, SasPeer_GetNow()) !=
                 SAS_MEMBER_LIVE) {
                 return false;
             }
@@ -246,11 +246,11 @@
 }
 
 static void
-test_a_version_reaches_all(void **state)
+test_version_reaches_all(void **state)
 {
     (void)state;
     start_all(9);
-    assert_true(run_until(all_see_all));
+    assert_true(run_until(all_are_live_at_all));
     owners[4].version = 5;
     SasPeer_NoteChange(owners[4].peer);
     assert_true(run_until(all_have_version_5));
@@ -260,7 +260,7 @@
 }
 
 static bool
-all_have_heard(void)
+all_have_applied(void)
 {
     for (int i = 0; i < model.vm_count; i++) {
         const struct sas_membership *table =
@@ -281,21 +281,21 @@
     struct sas_rpc_quarantine entry = {.high = 77};
     struct sas_rpc_leaving_backend backend = {.backend = 5};
     start_all(9);
-    assert_true(run_until(all_see_all));
+    assert_true(run_until(all_are_live_at_all));
     owners[2].quarantines = 1;
     owners[2].leaving_backends = 1;
     SasPeer_SendQuarantines(owners[2].peer, &entry, 1);
     SasPeer_SendLeaving(owners[2].peer, &backend, 1);
     SasPeer_SetLeaving(owners[2].peer);
-    for (int turn = 0; turn < 50 && !all_have_heard(); turn++) {
-        /* What chance left out is said again, as owners do each second. */
-        SasPeer_SendQuarantines(owners[turn % 9].peer, &entry, 1);
-        SasPeer_SendLeaving(owners[turn % 9].peer, &backend, 1);
+    for (int round = 0; round < 50 && !all_have_applied(); round++) {
+        /* Random picks may miss a member: owners resend each second. */
+        SasPeer_SendQuarantines(owners[round % 9].peer, &entry, 1);
+        SasPeer_SendLeaving(owners[round % 9].peer, &backend, 1);
         for (int i = 0; i < 100; i++) {
             uv_run(&loop, UV_RUN_ONCE);
         }
     }
-    assert_true(all_have_heard());
+    assert_true(all_have_applied());
     finish();
 }
 
@@ -320,7 +320,7 @@
 }
 
 static void
-ask_for_loan(int from, int to)
+request_loan(int from, int to)
 {
     struct sas_rpc_borrow borrow = {.budget = 1, .loan = 9, .wanted = 4};
     answers = 0;
@@ -331,11 +331,11 @@
 }
 
 static void
-test_a_loan(void **state)
+test_loan_is_granted(void **state)
 {
     (void)state;
     start_all(2);
-    ask_for_loan(0, 1);
+    request_loan(0, 1);
     assert_true(run_until(is_answered));
     assert_int_equal(granted, 4);
     assert_int_equal(owners[1].lent, 4);
@@ -359,7 +359,7 @@
 }
 
 static void
-test_a_configuration_is_fetched(void **state)
+test_newer_configuration_is_fetched(void **state)
 {
     (void)state;
     interval_ms = 1000000;
@@ -379,7 +379,7 @@
 /* Failures of processes */
 
 static bool
-first_holds_last_for_gone(void)
+first_counts_last_as_dead(void)
 {
     return SasMembership_GetState(SasPeer_GetMembership(owners[0].peer),
                                   model.vm_count - 1,
@@ -393,27 +393,27 @@
                ->replaced_by == 5000;
 }
 
-/* A process dies and a new one starts for its seat. The others first hold it
- * for gone, then see the new incarnation. The old process, had it only been
- * paused, wakes up after that: nobody may talk to it any more, and it has
- * to learn why. */
+/* A process dies and a new one starts for the same member. The others detect
+ * the failure, then the new incarnation. If the old process was only paused
+ * and resumes, no peer may accept it, and it has to learn that it was
+ * replaced. */
 static void
-test_a_process_is_replaced(void **state)
+test_replaced_process_is_refused(void **state)
 {
     (void)state;
     start_all(3);
-    assert_true(run_until(all_see_all));
+    assert_true(run_until(all_are_live_at_all));
     struct sas_address address = vms[2].peer;
     int kept = dup(listeners[2]);
     SasPeer_Close(owners[2].peer, on_done, &owners[2]);
-    assert_true(run_until(first_holds_last_for_gone));
+    assert_true(run_until(first_counts_last_as_dead));
     listeners[2] = dup(kept);
     start_owner(2, 5000, key);
-    assert_true(run_until(all_see_all));
+    assert_true(run_until(all_are_live_at_all));
     assert_int_equal(
         SasPeer_GetMembership(owners[0].peer)->members[2].incarnation, 5000);
     SasPeer_Close(owners[2].peer, on_done, &owners[2]);
-    assert_true(run_until(first_holds_last_for_gone));
+    assert_true(run_until(first_counts_last_as_dead));
     listeners[2] = kept;
     start_owner(2, 4000, key);
     assert_int_equal(address.port, vms[2].peer.port);
@@ -426,7 +426,7 @@
     assert_true(SasPeer_GetCounter(owners[0].peer, SAS_PEER_OLD_INCARNATION) >
                 0);
     assert_true(run_until(last_knows_that_it_was_replaced));
-    assert_true(first_holds_last_for_gone());
+    assert_true(first_counts_last_as_dead());
     finish();
 }
 
@@ -437,11 +437,11 @@
            owners[2].version == 5 && owners[3].version == 5;
 }
 
-/* A process is stopped in a debugger: its kernel accepts connections, and
- * nothing is ever answered. The others go on, and calls to it fail as not
- * sent, since it never proved who it is. */
+/* A process is stopped in a debugger: its kernel accepts connections, but no
+ * call is answered. The others must not be delayed, and calls to it fail as
+ * not sent, since it was never authenticated. */
 static void
-test_a_frozen_peer_holds_up_nobody(void **state)
+test_frozen_peer_delays_no_other(void **state)
 {
     (void)state;
     prepare(5);
@@ -449,7 +449,7 @@
     for (int i = 0; i < 4; i++) {
         start_owner(i, 1000, key);
     }
-    ask_for_loan(0, 4);
+    request_loan(0, 4);
     owners[0].version = 5;
     SasPeer_NoteChange(owners[0].peer);
     assert_true(run_until(four_have_version_5));
@@ -462,15 +462,15 @@
 }
 
 static bool
-stranger_was_refused(void)
+wrong_key_was_refused(void)
 {
     return SasPeer_GetCounter(owners[0].peer, SAS_PEER_BAD_DIGEST) > 2;
 }
 
-/* One VM was given yesterday's key. It must not get in, and learn nothing,
- * while the others go on. */
+/* One VM has an outdated key. It must be refused and get no data, while the
+ * others work. */
 static void
-test_a_wrong_key_stays_outside(void **state)
+test_wrong_key_is_refused(void **state)
 {
     (void)state;
     uint8_t wrong[sizeof(key)];
@@ -483,7 +483,7 @@
     owners[0].version = 5;
     owners[4].version = 66;
     assert_true(run_until(four_have_version_5));
-    assert_true(run_until(stranger_was_refused));
+    assert_true(run_until(wrong_key_was_refused));
     assert_int_equal(owners[4].version, 66);
     assert_int_equal(owners[4].load_seen, 0);
     assert_true(four_have_version_5());
@@ -501,12 +501,12 @@
 };
 
 static void
-open_script(struct script *script, int fd, int own_seat, uint64_t incarnation)
+open_script(struct script *script, int fd, int own_id, uint64_t incarnation)
 {
     memset(script, 0, sizeof(*script));
     script->fd = fd;
     script->key = SasProto_NewKey(key, sizeof(key), NULL);
-    script->identity.sender = (uint32_t)own_seat;
+    script->identity.sender = (uint32_t)own_id;
     script->identity.sender_incarnation = incarnation;
     SasRecord_InitReader(&script->reader, SasProto_MAX_RECORD);
 }
@@ -519,7 +519,7 @@
     SasProto_FreeKey(script->key);
 }
 
-/* Turns the loop until a whole record is there; false: end of stream. */
+/* Runs the loop until a whole record has arrived; false: end of stream. */
 static bool
 receive(struct script *script, struct sas_proto_message *message)
 {
@@ -540,7 +540,7 @@
                                  message, NULL) == 0;
         }
     }
-    fail_msg("no record came");
+    fail_msg("no record arrived");
     return false;
 }
 
@@ -565,9 +565,9 @@
     send_bytes(script, bytes, size);
 }
 
-/* A scripted caller: connects and says HELLO. */
+/* A scripted caller: connects and sends HELLO. */
 static void
-call_as(struct script *script, int own_seat, uint64_t incarnation, int to)
+call_as(struct script *script, int own_id, uint64_t incarnation, int to)
 {
     struct sockaddr_in address = {.sin_family = AF_INET};
     struct sas_proto_message hello = {.xid = 1, .procedure = SAS_RPC_HELLO};
@@ -577,7 +577,7 @@
     address.sin_port = htons((uint16_t)vms[to].peer.port);
     assert_int_equal(connect(fd, (struct sockaddr *)&address, sizeof(address)),
                      0);
-    open_script(script, fd, own_seat, incarnation);
+    open_script(script, fd, own_id, incarnation);
     script->identity.receiver = (uint32_t)to;
     send_message(script, &hello);
     assert_true(receive(script, &reply));
@@ -588,9 +588,9 @@
            SAS_RPC_NONCE_SIZE);
 }
 
-/* A scripted answerer for seat 1: accepts and answers HELLO. */
+/* A scripted peer as member 1: accepts and answers HELLO. */
 static void
-answer_as_seat_1(struct script *script)
+answer_as_member_1(struct script *script)
 {
     struct sas_proto_message hello = {0};
     int fd = -1;
@@ -624,7 +624,7 @@
 }
 
 static void
-start_with_scripted_seat_1(void)
+start_with_scripted_member_1(void)
 {
     interval_ms = 1000000;
     prepare(2);
@@ -638,18 +638,18 @@
     return SasPeer_GetCounter(owners[0].peer, SAS_PEER_ANSWERS_LATE) > 0;
 }
 
-/* A request for a loan is answered, but the answer is held up until the
- * borrower has given up. The lender takes its units back some time after.
- * If the borrower took the late answer, both would use them. */
+/* A loan is granted, but the answer arrives after the borrower's timeout. The
+ * lender takes the units back some time later. If the borrower used the late
+ * answer, both would use them. */
 static void
-test_a_late_grant_is_dropped(void **state)
+test_late_grant_is_dropped(void **state)
 {
     (void)state;
     struct script script;
     struct sas_proto_message call = {0};
-    start_with_scripted_seat_1();
-    ask_for_loan(0, 1);
-    answer_as_seat_1(&script);
+    start_with_scripted_member_1();
+    request_loan(0, 1);
+    answer_as_member_1(&script);
     assert_true(receive(&script, &call));
     assert_true(run_until(is_answered));
     assert_int_equal(answer_code, SAS_ETIMEOUT);
@@ -665,14 +665,14 @@
 
 /* The network delivers the answer twice. */
 static void
-test_a_grant_counts_once(void **state)
+test_repeated_grant_counts_once(void **state)
 {
     (void)state;
     struct script script;
     struct sas_proto_message call = {0};
-    start_with_scripted_seat_1();
-    ask_for_loan(0, 1);
-    answer_as_seat_1(&script);
+    start_with_scripted_member_1();
+    request_loan(0, 1);
+    answer_as_member_1(&script);
     assert_true(receive(&script, &call));
     struct sas_proto_message grant = grant_for(&call);
     send_message(&script, &grant);
@@ -685,7 +685,7 @@
     close(listeners[1]);
 }
 
-/* The process is stopped inside a callback, and continues later. */
+/* The process is paused in a callback and resumes later. */
 static void
 on_grant_pause(void *context, const struct sas_error *error,
                const union sas_proto_body *body)
@@ -696,11 +696,11 @@
     usleep(350 * 1000); /* longer than the call's timeout */
 }
 
-/* The borrower asked for two loans and is paused. A grant lies in its socket
- * meanwhile; the lender counts the loan as over. On waking, the grant is
- * read before any timer runs: it must not count. */
+/* The borrower requested two loans and is paused while a grant waits in its
+ * socket; for the lender the loan has expired. When the process resumes, the
+ * grant is read before any timer runs: it must not count. */
 static void
-test_a_paused_borrower_takes_no_old_grant(void **state)
+test_paused_borrower_drops_expired_grant(void **state)
 {
     (void)state;
     struct script script;
@@ -709,12 +709,12 @@
     struct sas_rpc_borrow borrow = {.budget = 1, .loan = 8, .wanted = 4};
     size_t size;
     size_t second_size;
-    start_with_scripted_seat_1();
+    start_with_scripted_member_1();
     assert_int_equal(SasPeer_AskBorrow(owners[0].peer, 1, &borrow, 0,
                                        on_grant_pause, NULL, NULL),
                      0);
-    ask_for_loan(0, 1);
-    answer_as_seat_1(&script);
+    request_loan(0, 1);
+    answer_as_member_1(&script);
     assert_true(receive(&script, &first));
     struct sas_proto_message grant = grant_for(&first);
     g_autofree uint8_t *bytes = seal(&script, &grant, &size);
@@ -732,33 +732,33 @@
     close(listeners[1]);
 }
 
-/* Something between two VMs forgets a connection: it stays open and carries
- * nothing more, while new ones work. Loans would fail until the kernel gives
- * the connection up, a quarter of an hour later. */
+/* A middlebox forgets a connection: it stays open without any traffic, while
+ * new ones work. Loans would fail until the kernel closes it after 15
+ * minutes. */
 static void
-test_a_silent_connection_is_replaced(void **state)
+test_stalled_connection_is_replaced(void **state)
 {
     (void)state;
-    struct script silent;
-    struct script works;
+    struct script stalled;
+    struct script working;
     struct sas_proto_message call = {0};
-    start_with_scripted_seat_1();
-    ask_for_loan(0, 1);
-    answer_as_seat_1(&silent);
+    start_with_scripted_member_1();
+    request_loan(0, 1);
+    answer_as_member_1(&stalled);
     assert_true(run_until(is_answered));
     assert_int_equal(answer_code, SAS_ETIMEOUT);
-    answer_as_seat_1(&works);
-    ask_for_loan(0, 1);
-    assert_true(receive(&works, &call));
+    answer_as_member_1(&working);
+    request_loan(0, 1);
+    assert_true(receive(&working, &call));
     struct sas_proto_message grant = grant_for(&call);
-    send_message(&works, &grant);
+    send_message(&working, &grant);
     assert_true(run_until(is_answered));
     assert_int_equal(granted, 4);
     assert_int_equal(
         SasPeer_GetCounter(owners[0].peer, SAS_PEER_CONNECTION_SILENT), 1);
     finish();
-    close_script(&silent);
-    close_script(&works);
+    close_script(&stalled);
+    close_script(&working);
     close(listeners[1]);
 }
 
@@ -770,10 +770,10 @@
                                       .body.borrow = {1, 0, 9, 4, 0}};
 }
 
-/* Somebody on the path records a request for a loan and sends it again: on
- * the same connection, and on a new one. Each would be a second loan. */
+/* An attacker on the path records a loan request and replays it, on the same
+ * connection and on a new one. Each would be a second loan. */
 static void
-test_a_replayed_call_is_refused(void **state)
+test_replayed_call_is_refused(void **state)
 {
     (void)state;
     struct script script;
@@ -803,18 +803,18 @@
     close(listeners[1]);
 }
 
-/* A process is paused with its connections open. A new one for its seat is
- * heard of. The old one wakes up and asks for a loan: nobody would ever see
- * those units back. */
+/* A process is paused with its connections open, and a newer one of the same
+ * member becomes known. The old one resumes and requests a loan, whose units
+ * would never be returned. */
 static void
-test_an_old_process_gets_no_loan(void **state)
+test_replaced_process_gets_no_loan(void **state)
 {
     (void)state;
     struct script old;
     struct script new;
     struct sas_proto_message reply = {0};
     struct sas_rpc_load load = {0};
-    struct sas_rpc_seat seat = {.seat = 1, .incarnation = 3000};
+    struct sas_rpc_seat row = {.seat = 1, .incarnation = 3000};
     interval_ms = 1000000;
     prepare(2);
     start_owner(0, 1000, key);
@@ -826,7 +826,7 @@
         .body.gossip = {.seat = 1,
                         .incarnation = 3000,
                         .loads = {1, &load},
-                        .seats = {1, &seat}},
+                        .seats = {1, &row}},
     };
     send_message(&new, &gossip);
     assert_true(receive(&new, &reply));
@@ -845,7 +845,7 @@
 /* A message with a right digest that names another receiver, or an earlier
  * incarnation of this one. */
 static void
-test_a_message_for_another_is_refused(void **state)
+test_message_with_wrong_identity_is_refused(void **state)
 {
     (void)state;
     interval_ms = 1000000;
@@ -871,10 +871,10 @@
     close(listeners[2]);
 }
 
-/* A newer release calls a procedure that this one does not have: it is told
- * so and the connection stays. */
+/* A newer release calls a procedure that this one does not have: the reply
+ * says so and the connection stays open. */
 static void
-test_an_unknown_procedure_is_refused(void **state)
+test_unknown_procedure_is_refused(void **state)
 {
     (void)state;
     struct script script;
@@ -909,7 +909,7 @@
 }
 
 static bool
-strangers_are_gone(void)
+raw_connections_are_closed(void)
 {
     const struct sas_peer *peer = owners[0].peer;
     return SasPeer_GetCounter(peer, SAS_PEER_BAD_RECORD) +
@@ -921,7 +921,7 @@
 }
 
 static void
-test_random_bytes_on_the_port(void **state)
+test_random_bytes_are_refused(void **state)
 {
     (void)state;
     GRand *random = g_rand_new_with_seed(20261202);
@@ -933,18 +933,18 @@
         for (size_t k = 0; k < sizeof(bytes); k++) {
             bytes[k] = (uint8_t)g_rand_int(random);
         }
-        if (i % 2 == 0) { /* a plausible mark */
+        if (i % 2 == 0) { /* a valid record mark */
             SasRecord_PutMark(bytes, 100);
         }
         send(fd, bytes, sizeof(bytes), MSG_NOSIGNAL);
-        for (int turn = 0; turn < 10; turn++) {
+        for (int round = 0; round < 10; round++) {
             uv_run(&loop, UV_RUN_NOWAIT);
         }
         close(fd);
     }
-    assert_true(run_until(strangers_are_gone));
+    assert_true(run_until(raw_connections_are_closed));
     assert_true(SasPeer_GetCounter(owners[0].peer, SAS_PEER_BAD_DIGEST) > 0);
-    assert_true(run_until(all_see_all));
+    assert_true(run_until(all_are_live_at_all));
     g_rand_free(random);
     finish();
 }
@@ -956,7 +956,7 @@
 }
 
 static void
-test_connections_of_one_address_are_bounded(void **state)
+test_connections_per_address_are_bounded(void **state)
 {
     (void)state;
     int fds[2 * SasPeer_CONNECTIONS_PER_SEAT + 3] = {0};
@@ -988,23 +988,23 @@
 {
 #define TEST(name) cmocka_unit_test_setup(name, set_up)
     const struct CMUnitTest tests[] = {
-        TEST(test_a_version_reaches_all),
+        TEST(test_version_reaches_all),
         TEST(test_quarantine_and_leaving_reach_all),
-        TEST(test_a_loan),
-        TEST(test_a_configuration_is_fetched),
-        TEST(test_a_process_is_replaced),
-        TEST(test_a_frozen_peer_holds_up_nobody),
-        TEST(test_a_wrong_key_stays_outside),
-        TEST(test_a_late_grant_is_dropped),
-        TEST(test_a_grant_counts_once),
-        TEST(test_a_paused_borrower_takes_no_old_grant),
-        TEST(test_a_silent_connection_is_replaced),
-        TEST(test_a_replayed_call_is_refused),
-        TEST(test_an_old_process_gets_no_loan),
-        TEST(test_a_message_for_another_is_refused),
-        TEST(test_an_unknown_procedure_is_refused),
-        TEST(test_random_bytes_on_the_port),
-        TEST(test_connections_of_one_address_are_bounded),
+        TEST(test_loan_is_granted),
+        TEST(test_newer_configuration_is_fetched),
+        TEST(test_replaced_process_is_refused),
+        TEST(test_frozen_peer_delays_no_other),
+        TEST(test_wrong_key_is_refused),
+        TEST(test_late_grant_is_dropped),
+        TEST(test_repeated_grant_counts_once),
+        TEST(test_paused_borrower_drops_expired_grant),
+        TEST(test_stalled_connection_is_replaced),
+        TEST(test_replayed_call_is_refused),
+        TEST(test_replaced_process_gets_no_loan),
+        TEST(test_message_with_wrong_identity_is_refused),
+        TEST(test_unknown_procedure_is_refused),
+        TEST(test_random_bytes_are_refused),
+        TEST(test_connections_per_address_are_bounded),
     };
     signal(SIGPIPE, SIG_IGN);
     return cmocka_run_group_tests(tests, NULL, NULL);
