--- a/packages/core/include/sas/fleet.h
+++ b/packages/core/include/sas/fleet.h
@@ -58,7 +58,7 @@
     int reported_waiting;
     int in_flight_at_report;
     int64_t reported_at;      /* 0: never */
-    int64_t unanswered_since; /* no answer since then; 0: nothing was sent */
+    int64_t unanswered_since; /* no answer since then; 0: nothing sent since */
     int timeouts;             /* in a row */
     int slow_runs;            /* in a row */
     int64_t queued_since;     /* queue reported since then; 0: it is short */
--- a/packages/core/include/sas/objects.h
+++ b/packages/core/include/sas/objects.h
@@ -28,8 +28,7 @@
                          uint64_t key, struct sas_server_ref server,
                          int64_t now_ms);
 
-/* The server has answered for the object of the service: it is cached there.
- */
+/* The server has answered for the object of the service, and caches it. */
 void SasObjects_NoteAnswered(struct sas_objects *objects, int service,
                              uint64_t key, struct sas_server_ref server);
 
--- a/packages/core/include/sas/quarantine.h
+++ b/packages/core/include/sas/quarantine.h
@@ -39,8 +39,8 @@
 enum sas_quarantine_verdict {
     SAS_QUARANTINE_ALLOW,
     SAS_QUARANTINE_ALONE, /* only an isolated run */
-    SAS_QUARANTINE_WAIT,  /* refuse with Retry-After: an isolated run is on */
-    SAS_QUARANTINE_REFUSE /* refuse with Retry-After: quarantined */
+    SAS_QUARANTINE_WAIT,  /* refuse: an isolated run is pending */
+    SAS_QUARANTINE_REFUSE /* refuse: quarantined */
 };
 
 struct sas_crash {
--- a/packages/core/include/sas/window.h
+++ b/packages/core/include/sas/window.h
@@ -9,8 +9,7 @@
 
 #include <stdint.h>
 
-#define SasWindow_BUCKETS 20 /* a count covers up to 1/20 more than the span  \
-                              */
+#define SasWindow_BUCKETS 20 /* a count covers up to 1/20 of the span more */
 
 struct sas_window {
     int64_t bucket_ms;
--- a/packages/core/src/fleet.c
+++ b/packages/core/src/fleet.c
@@ -191,8 +191,7 @@
     return (int)fleet->servers->len - 1;
 }
 
-/* The same process at the same address: what was measured of it stays valid.
- */
+/* The same process and address: what was measured of it stays valid. */
 static bool
 is_same_start(const struct sas_server_facts *a,
               const struct sas_server_facts *b)
--- a/packages/core/src/measure.c
+++ b/packages/core/src/measure.c
@@ -168,8 +168,7 @@
     return MAX(0, row->running + row->queued - row->own_at_report);
 }
 
-/* At most the configured execution slots, fewer if the server reports fewer.
- */
+/* The configured execution slots, or fewer if the server reports fewer. */
 static int
 get_slots(const struct sas_measure *measure, int backend)
 {
--- a/packages/core/src/membership.c
+++ b/packages/core/src/membership.c
@@ -215,8 +215,7 @@
 
 /* Guards against a partitioned node that takes all others for dead: when the
  * partition heals, its suspicions would spread and each member would have to
- * refute them. While no message arrives, a timeout says nothing of a member.
- */
+ * refute them. Without any message, a timeout says nothing of a member. */
 int
 SasMembership_NoteSilence(struct sas_membership *table, int member_id,
                           int64_t now_ms)
--- a/packages/core/src/snapshot.c
+++ b/packages/core/src/snapshot.c
@@ -89,15 +89,15 @@
 SasSnapshot_Add(struct sas_model *model, const struct sas_fleet *fleet)
 {
     g_autoptr(GArray) free_rows = g_array_new(FALSE, FALSE, sizeof(int));
-    g_autoptr(GArray) known = g_array_new(FALSE, TRUE, sizeof(bool));
-    g_array_set_size(known, (guint)SasFleet_CountSlots(fleet) + 1);
+    g_autoptr(GArray) in_model = g_array_new(FALSE, TRUE, sizeof(bool));
+    g_array_set_size(in_model, (guint)SasFleet_CountSlots(fleet) + 1);
     add_services(model, fleet);
     for (int i = 0; i < model->backend_count; i++) {
         struct sas_backend *backend = &model->backends[i];
         int slot = SasFleet_FindServer(fleet, backend->name);
         backend->slots = 0;
         if (slot != SasModel_NONE) {
-            g_array_index(known, bool, slot) = true;
+            g_array_index(in_model, bool, slot) = true;
             copy_facts(backend, SasFleet_At(fleet, slot));
         }
         else if (backend->name[0] == '\0') {
@@ -106,7 +106,7 @@
     }
     for (int slot = 0; slot < SasFleet_CountSlots(fleet); slot++) {
         const struct sas_fleet_server *server = SasFleet_At(fleet, slot);
-        if (server != NULL && !g_array_index(known, bool, slot)) {
+        if (server != NULL && !g_array_index(in_model, bool, slot)) {
             copy_facts(add_backend(model, free_rows, server->facts.id),
                        server);
         }
--- a/packages/core/tests/test_lag.c
+++ b/packages/core/tests/test_lag.c
@@ -10,11 +10,11 @@
 #define STALE_MS 800
 
 static struct sas_lag
-make_lag(int64_t known)
+make_lag(int64_t applied)
 {
     struct sas_lag lag;
     SasLag_Init(&lag, BOUND_MS);
-    SasLag_NoteKnown(&lag, known);
+    SasLag_NoteKnown(&lag, applied);
     return lag;
 }
 
--- a/packages/peer/src/connection.c
+++ b/packages/peer/src/connection.c
@@ -480,9 +480,9 @@
 static void
 note_newer_process(struct sas_peer *peer, uint64_t incarnation)
 {
-    struct sas_member_news news = {.seat = peer->own_id,
-                                   .incarnation = incarnation};
-    SasMembership_Merge(&peer->membership, &news, SasPeer_GetNow());
+    struct sas_member_news update = {.seat = peer->own_id,
+                                     .incarnation = incarnation};
+    SasMembership_Merge(&peer->membership, &update, SasPeer_GetNow());
 }
 
 /* Limits */
--- a/packages/peer/src/gossip.c
+++ b/packages/peer/src/gossip.c
@@ -251,12 +251,12 @@
 static void
 gossip_with_random_members(struct sas_peer *peer, int count)
 {
-    int seats[SasPeer_MAX_CALLS];
+    int member_ids[SasPeer_MAX_CALLS];
     count = SasMembership_PickPeers(&peer->membership, peer->options.random,
-                                    SasPeer_GetNow(), seats,
+                                    SasPeer_GetNow(), member_ids,
                                     MIN(count, SasPeer_MAX_CALLS));
     for (int i = 0; i < count; i++) {
-        start_gossip(peer, seats[i]);
+        start_gossip(peer, member_ids[i]);
     }
 }
 
@@ -409,12 +409,13 @@
 send_to_random_members(struct sas_peer *peer, uint32_t procedure,
                        const union sas_proto_body *body, int count)
 {
-    int seats[SasPeer_MAX_CALLS];
+    int member_ids[SasPeer_MAX_CALLS];
     count = SasMembership_PickPeers(&peer->membership, peer->options.random,
-                                    SasPeer_GetNow(), seats,
+                                    SasPeer_GetNow(), member_ids,
                                     MIN(count, SasPeer_MAX_CALLS));
     for (int i = 0; i < count; i++) {
-        SasCall_Start(peer, seats[i], procedure, body, 0, NULL, NULL, NULL);
+        SasCall_Start(peer, member_ids[i], procedure, body, 0, NULL, NULL,
+                      NULL);
     }
 }
 
--- a/packages/peer/src/internal.h
+++ b/packages/peer/src/internal.h
@@ -111,6 +111,8 @@
 int SasConnection_Send(struct sas_connection *connection,
                        struct sas_proto_message *message,
                        struct sas_error *error);
+/* Closes it at the timeout of HELLO, or when it is idle for too long; is_used:
+ * a call on it is pending. */
 void SasConnection_CheckTimeout(struct sas_connection *connection,
                                 int64_t now_ms, bool is_used);
 int SasConnection_ParseAddress(const struct sas_address *address,
