--- a/packages/core/include/sas/quarantine.h
+++ b/packages/core/include/sas/quarantine.h
@@ -83,11 +83,11 @@
 
 void SasQuarantine_Init(struct sas_quarantine *q);
 
-/* The connection was lost while this request ran. alone: no node had another
- * request on that backend server. */
+/* The connection was lost while this request ran. isolated: no node had
+ * another request on that backend server. */
 void SasQuarantine_Suspect(struct sas_quarantine *q,
                            struct sas_fingerprint fingerprint, uint64_t crash,
-                           bool alone, int64_t now_ms);
+                           bool isolated, int64_t now_ms);
 
 /* An isolated run completed: the request is cleared, unless it has been
  * quarantined in the meantime. */
