--- a/packages/observe/include/sas/wall.h
+++ b/packages/observe/include/sas/wall.h
@@ -1,8 +1,8 @@
-/* wall - the time of day, in milliseconds since the epoch.
+/* wall - the time of day in milliseconds since the Unix epoch.
  *
- * One place reads it, so that tests can give a process a clock that is wrong:
- * SasWall_SetOffset shifts all that GetMs says from then on. The clock of the
- * machine stays as it is.
+ * Read the wall clock through SasWall_GetMs, so that tests can give a process
+ * a wrong clock: SasWall_SetOffset adds an offset to all later results. The
+ * system clock is not changed.
  */
 #ifndef SAS_WALL_H
 #define SAS_WALL_H
--- a/packages/observe/src/log.c
+++ b/packages/observe/src/log.c
@@ -15,13 +15,13 @@
 
 #define CATEGORY_NAME "sassafrassill"
 
-/* What one log call hands through log4c to the layout and the appender. */
+/* One log line on its way through log4c to the layout and the appender. */
 struct record {
     const char *level;
     const char *step;
     const char *peer;
-    json_t *fields; /* NULL: only a text */
-    char *line;     /* set by the layout, released by the log call */
+    json_t *fields; /* NULL: a text instead */
+    char *line;     /* set by format_line, freed by write_record */
 };
 
 static const char *const level_names[] = {"error", "warn", "info", "debug"};
@@ -42,7 +42,7 @@
     .name = "sas_json",
     .format = format_line,
 };
-/* The stock stream appender puts its own name before each line. */
+/* log4c's own stream appender would prefix each line with its name. */
 static const log4c_appender_type_t appender_type = {
     .name = "sas_file",
     .open = ignore_appender,
@@ -50,12 +50,12 @@
     .close = ignore_appender,
 };
 
-/* The process's log; a NULL category means that it is closed. */
+/* The log of the process; log_category is NULL while it is closed. */
 static log4c_category_t *log_category;
 static struct sas_log_output log_output;
 static char *log_vm;
 
-/* -1 with errno set when the file can't be opened. */
+/* Returns -1 and sets errno if the file can't be opened. */
 static int
 open_output(const char *path, bool *owned)
 {
@@ -74,8 +74,8 @@
 SasLog_Open(const char *vm, const char *path, const char *level,
             struct sas_error *error)
 {
-    int wanted = SasLog_FindLevel(level);
-    if (wanted < 0) {
+    int wanted_level = SasLog_FindLevel(level);
+    if (wanted_level < 0) {
         SasError_Set(error, SAS_EINVAL, "log.open", "", "unknown level \"%s\"",
                      level);
         return -1;
@@ -90,8 +90,8 @@
     SasLog_Close();
     SasLogOutput_Open(&log_output, fd, owned);
     log_vm = g_utf8_make_valid(vm, -1);
-    /* log4c_init is left out on purpose: it would read a log4crc file from
-     * the working folder, and all settings come from one place. */
+    /* No log4c_init: it would read a log4crc file from the working directory,
+     * a second source of settings. */
     log4c_layout_t *layout = log4c_layout_get("sas_json");
     log4c_layout_set_type(layout, &layout_type);
     log4c_appender_t *appender = log4c_appender_get("sas_file");
@@ -100,7 +100,7 @@
     log_category = log4c_category_get(CATEGORY_NAME);
     log4c_category_set_appender(log_category, appender);
     log4c_category_set_additivity(log_category, 0);
-    log4c_category_set_priority(log_category, level_priorities[wanted]);
+    log4c_category_set_priority(log_category, level_priorities[wanted_level]);
     return 0;
 }
 
@@ -157,11 +157,11 @@
     free(record->line);
 }
 
-/* Says how many lines were lost, once there is room for lines again. */
+/* Logs the number of dropped lines; called when a line was admitted. */
 static void
 write_dropped(void)
 {
-    uint64_t dropped = SasLogOutput_TakeDropped(&log_output);
+    uint64_t dropped = SasLogOutput_ResetDropped(&log_output);
     if (dropped == 0) {
         return;
     }
@@ -177,9 +177,11 @@
 static bool
 admit(enum sas_log_level level, const char *step)
 {
-    bool urgent = level <= SasLog_WARN || strcmp(step, SasLog_REQUEST) != 0;
+    bool high_priority =
+        level <= SasLog_WARN || strcmp(step, SasLog_REQUEST) != 0;
     if (!SasLog_IsEnabled(level) ||
-        !SasLogOutput_Admit(&log_output, urgent, g_get_monotonic_time())) {
+        !SasLogOutput_Admit(&log_output, high_priority,
+                            g_get_monotonic_time())) {
         return false;
     }
     write_dropped();
@@ -218,7 +220,8 @@
         .peer = peer == NULL ? "" : peer,
         .fields = fields,
     };
-    write_record(level, &record, fields == NULL ? "fields are not UTF-8" : "");
+    write_record(level, &record,
+                 fields == NULL ? "invalid fields: NULL or not UTF-8" : "");
     json_decref(fields);
 }
 
@@ -270,7 +273,7 @@
     if (event->evt_rendered_msg == NULL) {
         return -1;
     }
-    SasLogOutput_Put(&log_output, event->evt_rendered_msg);
+    SasLogOutput_WriteLine(&log_output, event->evt_rendered_msg);
     return 0;
 }
 
--- a/packages/observe/src/log_output.c
+++ b/packages/observe/src/log_output.c
@@ -18,7 +18,7 @@
     }
 }
 
-/* Hands over what the descriptor takes now. */
+/* Writes as much of the buffer as the descriptor accepts without blocking. */
 static void
 flush(struct sas_log_output *output)
 {
@@ -55,20 +55,22 @@
 {
     output->lines_per_s = lines_per_s;
     output->tokens = lines_per_s;
-    output->filled_us = now_us;
+    output->refilled_us = now_us;
 }
 
 bool
-SasLogOutput_Admit(struct sas_log_output *output, bool urgent, int64_t now_us)
+SasLogOutput_Admit(struct sas_log_output *output, bool high_priority,
+                   int64_t now_us)
 {
     if (output->lines_per_s <= 0) {
         return true;
     }
-    double grown =
-        (double)(now_us - output->filled_us) / 1e6 * output->lines_per_s;
-    output->tokens = MIN(output->tokens + grown, output->lines_per_s);
-    output->filled_us = now_us;
-    double reserve = urgent ? 0 : output->lines_per_s * SasLogOutput_RESERVE;
+    double refill =
+        (double)(now_us - output->refilled_us) / 1e6 * output->lines_per_s;
+    output->tokens = MIN(output->tokens + refill, output->lines_per_s);
+    output->refilled_us = now_us;
+    double reserve =
+        high_priority ? 0 : output->lines_per_s * SasLogOutput_RESERVE;
     if (output->tokens < reserve + 1) {
         output->dropped++;
         return false;
@@ -78,7 +80,7 @@
 }
 
 void
-SasLogOutput_Put(struct sas_log_output *output, const char *line)
+SasLogOutput_WriteLine(struct sas_log_output *output, const char *line)
 {
     flush(output);
     size_t size = strlen(line);
@@ -92,7 +94,7 @@
 }
 
 uint64_t
-SasLogOutput_TakeDropped(struct sas_log_output *output)
+SasLogOutput_ResetDropped(struct sas_log_output *output)
 {
     uint64_t dropped = output->dropped;
     output->dropped = 0;
--- a/packages/observe/src/log_output.h
+++ b/packages/observe/src/log_output.h
@@ -1,11 +1,12 @@
-/* log_output - writes lines to a descriptor without ever waiting for it.
+/* log_output - non-blocking, rate-limited writes of lines to a descriptor.
  *
- * What a pipe or terminal doesn't take at once is kept, up to
- * SasLogOutput_MAX_PENDING bytes; beyond that lines are dropped and counted.
- * A rate bounds the lines of a second; when it is used up to its reserve only
- * urgent lines go through, so that a flood of requests doesn't hide what the
- * process came to believe. The count of dropped lines is written as a line of
- * its own as soon as there is room.
+ * What a pipe or terminal doesn't accept at once is buffered, up to
+ * SasLogOutput_MAX_PENDING bytes; further lines are dropped and counted. The
+ * descriptor is set to O_NONBLOCK, which has no effect on regular files.
+ *
+ * A token bucket of one second's lines limits the rate. Its last
+ * SasLogOutput_RESERVE is for high-priority lines only, so that a flood of
+ * requests doesn't hide changes of the process's state.
  */
 #ifndef SAS_LOG_OUTPUT_H
 #define SAS_LOG_OUTPUT_H
@@ -15,33 +16,37 @@
 
 #include <glib.h>
 
-#define SasLogOutput_MAX_PENDING 65536
-#define SasLogOutput_RESERVE 0.25 /* of a second's lines, for urgent ones */
+#define SasLogOutput_MAX_PENDING 65536 /* bytes */
+#define SasLogOutput_RESERVE 0.25      /* share of a second's lines */
 
 struct sas_log_output {
     int fd;
     bool owned; /* closed with the output */
     GString *pending;
-    double lines_per_s; /* 0: no bound */
+    double lines_per_s; /* 0: no limit */
     double tokens;
-    int64_t filled_us;
+    int64_t refilled_us; /* last refill of the tokens */
     uint64_t dropped;
 };
 
-/* Takes over the descriptor when owned. */
+/* Starts writing to fd; if owned, SasLogOutput_Close closes it. */
 void SasLogOutput_Open(struct sas_log_output *output, int fd, bool owned);
 void SasLogOutput_Close(struct sas_log_output *output);
+
+/* Limits the lines per second, 0 for no limit, and fills the bucket. */
 void SasLogOutput_SetRate(struct sas_log_output *output, double lines_per_s,
                           int64_t now_us);
 
-/* Whether a line may be written now; a refused one is counted. */
-bool SasLogOutput_Admit(struct sas_log_output *output, bool urgent,
+/* Takes a token for a line; false, and the line counts as dropped, if there
+ * is none that it may use. */
+bool SasLogOutput_Admit(struct sas_log_output *output, bool high_priority,
                         int64_t now_us);
 
-/* Writes the line and its end. */
-void SasLogOutput_Put(struct sas_log_output *output, const char *line);
+/* Writes the line and a line feed, or counts it as dropped if the buffer is
+ * full. */
+void SasLogOutput_WriteLine(struct sas_log_output *output, const char *line);
 
-/* Lines dropped since the last call. */
-uint64_t SasLogOutput_TakeDropped(struct sas_log_output *output);
+/* Returns the number of lines dropped since the last call. */
+uint64_t SasLogOutput_ResetDropped(struct sas_log_output *output);
 
 #endif
--- a/packages/observe/src/metrics.c
+++ b/packages/observe/src/metrics.c
@@ -15,7 +15,8 @@
     HISTOGRAM
 };
 
-/* The bounds between buckets; the last bucket holds whatever is longer. */
+/* Lower bounds of the buckets, ms, and the end of the last one, which is
+ * exported as +Inf. */
 static const double bucket_bounds[] = {0, SasMetrics_BUCKETS_MS, 1e12};
 #define BUCKET_COUNT (G_N_ELEMENTS(bucket_bounds) - 1)
 
@@ -24,20 +25,20 @@
     char *label; /* NULL: no label */
     char *help;
     enum kind kind;
-    GArray *metrics; /* handles */
+    GArray *metrics; /* int, handles */
 };
 
 struct metric {
-    char *value; /* of the label, NULL without one */
-    int family;
-    uint64_t count; /* a counter's number */
-    double level;   /* a gauge's number; the sum of a histogram's */
+    char *label_value; /* NULL: no label */
+    int family;        /* index in sas_metrics.families */
+    uint64_t count;    /* value of a counter, durations of a histogram */
+    double number;     /* value of a gauge, sum of a histogram, ms */
     gsl_histogram *histogram;
 };
 
 struct sas_metrics {
-    GArray *families;
-    GArray *metrics;
+    GArray *families; /* struct family */
+    GArray *metrics;  /* struct metric, by handle */
 };
 
 static void clear_family(gpointer data);
@@ -45,10 +46,10 @@
 static int register_metric(struct sas_metrics *metrics, enum kind kind,
                            const char *name, const char *label,
                            const char *value, const char *help);
-static struct metric *get_metric(const struct sas_metrics *metrics, int metric,
+static struct metric *get_metric(const struct sas_metrics *metrics, int handle,
                                  enum kind kind);
-static enum kind get_kind(const struct sas_metrics *metrics, int metric);
-static void format_family(const struct sas_metrics *metrics, int family,
+static enum kind get_kind(const struct sas_metrics *metrics, int handle);
+static void format_family(const struct sas_metrics *metrics, int index,
                           GString *text);
 
 struct sas_metrics *
@@ -93,56 +94,56 @@
                              const char *label, const char *value,
                              const char *help)
 {
-    int metric = register_metric(metrics, HISTOGRAM, name, label, value, help);
-    struct metric *row = get_metric(metrics, metric, HISTOGRAM);
-    if (row != NULL && row->histogram == NULL) {
-        row->histogram = gsl_histogram_alloc(BUCKET_COUNT);
-        gsl_histogram_set_ranges(row->histogram, bucket_bounds,
+    int handle = register_metric(metrics, HISTOGRAM, name, label, value, help);
+    struct metric *metric = get_metric(metrics, handle, HISTOGRAM);
+    if (metric != NULL && metric->histogram == NULL) {
+        metric->histogram = gsl_histogram_alloc(BUCKET_COUNT);
+        gsl_histogram_set_ranges(metric->histogram, bucket_bounds,
                                  G_N_ELEMENTS(bucket_bounds));
     }
-    return metric;
+    return handle;
 }
 
 void
-SasMetrics_Observe(struct sas_metrics *metrics, int metric,
+SasMetrics_Observe(struct sas_metrics *metrics, int handle,
                    double milliseconds)
 {
-    struct metric *row = get_metric(metrics, metric, HISTOGRAM);
-    if (row == NULL) {
+    struct metric *metric = get_metric(metrics, handle, HISTOGRAM);
+    if (metric == NULL) {
         return;
     }
-    gsl_histogram_increment(row->histogram, MAX(milliseconds, 0));
-    row->level += milliseconds;
-    row->count++;
+    gsl_histogram_increment(metric->histogram, MAX(milliseconds, 0));
+    metric->number += milliseconds;
+    metric->count++;
 }
 
 void
-SasMetrics_Add(struct sas_metrics *metrics, int metric, uint64_t n)
+SasMetrics_Add(struct sas_metrics *metrics, int handle, uint64_t n)
 {
-    struct metric *row = get_metric(metrics, metric, COUNTER);
-    if (row != NULL) {
-        row->count += n;
+    struct metric *metric = get_metric(metrics, handle, COUNTER);
+    if (metric != NULL) {
+        metric->count += n;
     }
 }
 
 void
-SasMetrics_Set(struct sas_metrics *metrics, int metric, double number)
+SasMetrics_Set(struct sas_metrics *metrics, int handle, double number)
 {
-    struct metric *row = get_metric(metrics, metric, GAUGE);
-    if (row != NULL) {
-        row->level = number;
+    struct metric *metric = get_metric(metrics, handle, GAUGE);
+    if (metric != NULL) {
+        metric->number = number;
     }
 }
 
 double
-SasMetrics_Get(const struct sas_metrics *metrics, int metric)
+SasMetrics_Get(const struct sas_metrics *metrics, int handle)
 {
-    if (metric < 0 || metric >= (int)metrics->metrics->len) {
+    if (handle < 0 || handle >= (int)metrics->metrics->len) {
         return 0;
     }
-    enum kind kind = get_kind(metrics, metric);
-    const struct metric *row = get_metric(metrics, metric, kind);
-    return kind == GAUGE ? row->level : (double)row->count;
+    enum kind kind = get_kind(metrics, handle);
+    const struct metric *metric = get_metric(metrics, handle, kind);
+    return kind == GAUGE ? metric->number : (double)metric->count;
 }
 
 static gint
@@ -163,8 +164,8 @@
     const int *left = a;
     const int *right = b;
     return g_strcmp0(
-        g_array_index(metrics->metrics, struct metric, *left).value,
-        g_array_index(metrics->metrics, struct metric, *right).value);
+        g_array_index(metrics->metrics, struct metric, *left).label_value,
+        g_array_index(metrics->metrics, struct metric, *right).label_value);
 }
 
 char *
@@ -196,7 +197,7 @@
 clear_metric(gpointer data)
 {
     struct metric *metric = data;
-    g_free(metric->value);
+    g_free(metric->label_value);
     if (metric->histogram != NULL) {
         gsl_histogram_free(metric->histogram);
     }
@@ -217,18 +218,18 @@
     return true;
 }
 
-/* The family of this name, made when there is none yet; SasModel_NONE when
- * the name is taken for something else. */
+/* Returns the family of this name, creating it if needed; SasModel_NONE if it
+ * exists with another kind or label. */
 static int
 find_family(struct sas_metrics *metrics, enum kind kind, const char *name,
             const char *label, const char *help)
 {
     for (int i = 0; i < (int)metrics->families->len; i++) {
-        const struct family *known =
+        const struct family *existing =
             &g_array_index(metrics->families, struct family, i);
-        if (strcmp(known->name, name) == 0) {
-            bool same =
-                known->kind == kind && g_strcmp0(known->label, label) == 0;
+        if (strcmp(existing->name, name) == 0) {
+            bool same = existing->kind == kind &&
+                        g_strcmp0(existing->label, label) == 0;
             return same ? i : SasModel_NONE;
         }
     }
@@ -249,11 +250,11 @@
     const GArray *members =
         g_array_index(metrics->families, struct family, family).metrics;
     for (guint i = 0; i < members->len; i++) {
-        int metric = g_array_index(members, int, i);
-        const struct metric *row =
-            &g_array_index(metrics->metrics, struct metric, metric);
-        if (g_strcmp0(row->value, value) == 0) {
-            return metric;
+        int handle = g_array_index(members, int, i);
+        const struct metric *metric =
+            &g_array_index(metrics->metrics, struct metric, handle);
+        if (g_strcmp0(metric->label_value, value) == 0) {
+            return handle;
         }
     }
     return SasModel_NONE;
@@ -264,51 +265,51 @@
                 const char *label, const char *value, const char *help)
 {
     bool label_valid = label == NULL || is_name(label, false);
-    bool paired = (label == NULL) == (value == NULL);
-    if (!is_name(name, true) || !label_valid || !paired) {
+    bool value_valid = (label == NULL) == (value == NULL);
+    if (!is_name(name, true) || !label_valid || !value_valid) {
         return SasModel_NONE;
     }
     int family = find_family(metrics, kind, name, label, help);
     if (family == SasModel_NONE) {
         return SasModel_NONE;
     }
-    int known = find_metric(metrics, family, value);
-    if (known != SasModel_NONE) {
-        return known;
+    int existing = find_metric(metrics, family, value);
+    if (existing != SasModel_NONE) {
+        return existing;
     }
     if (metrics->metrics->len >= SasMetrics_MAX_METRICS) {
         return SasModel_NONE;
     }
-    struct metric row = {.value = g_strdup(value), .family = family};
-    g_array_append_val(metrics->metrics, row);
-    int metric = (int)metrics->metrics->len - 1;
+    struct metric metric = {.label_value = g_strdup(value), .family = family};
+    g_array_append_val(metrics->metrics, metric);
+    int handle = (int)metrics->metrics->len - 1;
     g_array_append_val(
         g_array_index(metrics->families, struct family, family).metrics,
-        metric);
-    return metric;
+        handle);
+    return handle;
 }
 
 static enum kind
-get_kind(const struct sas_metrics *metrics, int metric)
+get_kind(const struct sas_metrics *metrics, int handle)
 {
-    int family = g_array_index(metrics->metrics, struct metric, metric).family;
+    int family = g_array_index(metrics->metrics, struct metric, handle).family;
     return g_array_index(metrics->families, struct family, family).kind;
 }
 
 static struct metric *
-get_metric(const struct sas_metrics *metrics, int metric, enum kind kind)
+get_metric(const struct sas_metrics *metrics, int handle, enum kind kind)
 {
-    if (metric < 0 || metric >= (int)metrics->metrics->len) {
+    if (handle < 0 || handle >= (int)metrics->metrics->len) {
         return NULL;
     }
-    if (get_kind(metrics, metric) != kind) {
+    if (get_kind(metrics, handle) != kind) {
         return NULL;
     }
-    return &g_array_index(metrics->metrics, struct metric, metric);
+    return &g_array_index(metrics->metrics, struct metric, handle);
 }
 
-/* The exposition format escapes '\' and line feeds, in label values also
- * quotes. */
+/* Escapes '\' and line feeds, in label values also double quotes, as the
+ * exposition format requires. */
 static void
 append_escaped(GString *text, const char *raw, bool quotes)
 {
@@ -325,28 +326,28 @@
 }
 
 static void
-format_number(const struct sas_metrics *metrics, int metric, GString *text)
+format_number(const struct sas_metrics *metrics, int handle, GString *text)
 {
-    const struct metric *row =
-        &g_array_index(metrics->metrics, struct metric, metric);
-    if (get_kind(metrics, metric) == COUNTER) {
-        g_string_append_printf(text, " %" PRIu64 "\n", row->count);
+    const struct metric *metric =
+        &g_array_index(metrics->metrics, struct metric, handle);
+    if (get_kind(metrics, handle) == COUNTER) {
+        g_string_append_printf(text, " %" PRIu64 "\n", metric->count);
         return;
     }
-    if (!isfinite(row->level)) {
-        const char *sign = row->level > 0 ? "+Inf" : "-Inf";
+    if (!isfinite(metric->number)) {
+        const char *sign = metric->number > 0 ? "+Inf" : "-Inf";
         g_string_append_printf(text, " %s\n",
-                               isnan(row->level) ? "NaN" : sign);
+                               isnan(metric->number) ? "NaN" : sign);
         return;
     }
     char number[G_ASCII_DTOSTR_BUF_SIZE];
-    g_ascii_formatd(number, sizeof(number), "%.15g", row->level);
+    g_ascii_formatd(number, sizeof(number), "%.15g", metric->number);
     g_string_append_printf(text, " %s\n", number);
 }
 
-/* The label of a row and, of a bucket, its upper bound. */
+/* Appends {label="value",le="bound"}; a NULL bound is left out. */
 static void
-append_labels(const struct family *family, const struct metric *row,
+append_labels(const struct family *family, const struct metric *metric,
               const char *bound, GString *text)
 {
     if (family->label == NULL && bound == NULL) {
@@ -355,7 +356,7 @@
     g_string_append_c(text, '{');
     if (family->label != NULL) {
         g_string_append_printf(text, "%s=\"", family->label);
-        append_escaped(text, row->value, true);
+        append_escaped(text, metric->label_value, true);
         g_string_append_c(text, '"');
     }
     if (bound != NULL) {
@@ -366,50 +367,51 @@
 }
 
 static void
-format_histogram(const struct family *family, const struct metric *row,
+format_histogram(const struct family *family, const struct metric *metric,
                  GString *text)
 {
-    double sum = 0;
+    double cumulative = 0;
     for (size_t i = 0; i < BUCKET_COUNT; i++) {
         char bound[G_ASCII_DTOSTR_BUF_SIZE] = "+Inf";
         if (i + 1 < BUCKET_COUNT) {
             g_ascii_formatd(bound, sizeof(bound), "%g", bucket_bounds[i + 1]);
         }
-        sum += gsl_histogram_get(row->histogram, i);
+        cumulative += gsl_histogram_get(metric->histogram, i);
         g_string_append_printf(text, "%s_bucket", family->name);
-        append_labels(family, row, bound, text);
-        g_string_append_printf(text, " %.0f\n", sum);
+        append_labels(family, metric, bound, text);
+        g_string_append_printf(text, " %.0f\n", cumulative);
     }
     char number[G_ASCII_DTOSTR_BUF_SIZE];
-    g_ascii_formatd(number, sizeof(number), "%.15g", row->level);
+    g_ascii_formatd(number, sizeof(number), "%.15g", metric->number);
     g_string_append_printf(text, "%s_sum", family->name);
-    append_labels(family, row, NULL, text);
+    append_labels(family, metric, NULL, text);
     g_string_append_printf(text, " %s\n%s_count", number, family->name);
-    append_labels(family, row, NULL, text);
-    g_string_append_printf(text, " %" PRIu64 "\n", row->count);
+    append_labels(family, metric, NULL, text);
+    g_string_append_printf(text, " %" PRIu64 "\n", metric->count);
 }
 
 static void
-format_family(const struct sas_metrics *metrics, int family, GString *text)
+format_family(const struct sas_metrics *metrics, int index, GString *text)
 {
     static const char *const types[] = {"counter", "gauge", "histogram"};
-    const struct family *row =
-        &g_array_index(metrics->families, struct family, family);
-    g_string_append_printf(text, "# HELP %s ", row->name);
-    append_escaped(text, row->help, false);
-    g_string_append_printf(text, "\n# TYPE %s %s\n", row->name,
-                           types[row->kind]);
-    g_array_sort_with_data(row->metrics, compare_metrics, (gpointer)metrics);
-    for (guint i = 0; i < row->metrics->len; i++) {
-        int metric = g_array_index(row->metrics, int, i);
-        const struct metric *member =
-            &g_array_index(metrics->metrics, struct metric, metric);
-        if (row->kind == HISTOGRAM) {
-            format_histogram(row, member, text);
+    const struct family *family =
+        &g_array_index(metrics->families, struct family, index);
+    g_string_append_printf(text, "# HELP %s ", family->name);
+    append_escaped(text, family->help, false);
+    g_string_append_printf(text, "\n# TYPE %s %s\n", family->name,
+                           types[family->kind]);
+    g_array_sort_with_data(family->metrics, compare_metrics,
+                           (gpointer)metrics);
+    for (guint i = 0; i < family->metrics->len; i++) {
+        int handle = g_array_index(family->metrics, int, i);
+        const struct metric *metric =
+            &g_array_index(metrics->metrics, struct metric, handle);
+        if (family->kind == HISTOGRAM) {
+            format_histogram(family, metric, text);
             continue;
         }
-        g_string_append(text, row->name);
-        append_labels(row, member, NULL, text);
-        format_number(metrics, metric, text);
+        g_string_append(text, family->name);
+        append_labels(family, metric, NULL, text);
+        format_number(metrics, handle, text);
     }
 }
--- a/packages/observe/src/wall.c
+++ b/packages/observe/src/wall.c
@@ -2,16 +2,16 @@
 
 #include <glib.h>
 
-static int64_t offset;
+static int64_t clock_offset_ms;
 
 int64_t
 SasWall_GetMs(void)
 {
-    return g_get_real_time() / 1000 + offset;
+    return g_get_real_time() / 1000 + clock_offset_ms;
 }
 
 void
 SasWall_SetOffset(int64_t offset_ms)
 {
-    offset = offset_ms;
+    clock_offset_ms = offset_ms;
 }
--- a/packages/observe/tests/test_log.c
+++ b/packages/observe/tests/test_log.c
@@ -29,7 +29,7 @@
     return 0;
 }
 
-/* All lines of the log; the last, empty one ends the array. */
+/* The lines of the log, followed by an empty string. */
 static char **
 read_lines(const char *path)
 {
@@ -55,7 +55,7 @@
     assert_int_equal(SasLog_Open("mtl-a-1", *state, "info", &error), 0);
     SasLog_Write(SasLog_WARN, "store.cas", "127.0.0.1:9", "%s \"%d\"\n", "a",
                  7);
-    SasError_Set(&error, SAS_ETIMEOUT, "rpc.call", NULL, "none came");
+    SasError_Set(&error, SAS_ETIMEOUT, "rpc.call", NULL, "no answer");
     SasLog_WriteError(SasLog_ERROR, &error);
     g_auto(GStrv) lines = read_lines(*state);
     assert_int_equal(g_strv_length(lines), 3);
@@ -64,25 +64,25 @@
     assert_field(lines[0], "step", "store.cas");
     assert_field(lines[0], "peer", "127.0.0.1:9");
     assert_field(lines[0], "text", "a \"7\"\n");
-    assert_field(lines[1], "text", "timeout: none came");
+    assert_field(lines[1], "text", "timeout: no answer");
     assert_true(g_regex_match_simple(
         "^\\{\"time\":\"\\d{4}-\\d\\d-\\d\\dT\\d\\d:\\d\\d:\\d\\d\\.\\d{3}Z\"",
         lines[0], 0, 0));
 }
 
 static void
-test_level_holds_back_finer_lines(void **state)
+test_lines_below_the_level_are_not_written(void **state)
 {
     assert_int_equal(SasLog_Open("v", *state, "warn", NULL), 0);
-    SasLog_Write(SasLog_INFO, "s", "", "unseen");
-    SasLog_Write(SasLog_ERROR, "s", "", "seen");
+    SasLog_Write(SasLog_INFO, "s", "", "not written");
+    SasLog_Write(SasLog_ERROR, "s", "", "written");
     g_auto(GStrv) lines = read_lines(*state);
     assert_int_equal(g_strv_length(lines), 2);
-    assert_field(lines[0], "text", "seen");
+    assert_field(lines[0], "text", "written");
 }
 
 static void
-test_bytes_that_are_not_utf8_lose_no_line(void **state)
+test_invalid_utf8_is_replaced(void **state)
 {
     assert_int_equal(SasLog_Open("v\xff", *state, "debug", NULL), 0);
     SasLog_Write(SasLog_DEBUG, NULL, NULL, "path %s", "/\xc3(");
@@ -107,7 +107,7 @@
 }
 
 static void
-test_bad_level_and_path_are_errors(void **state)
+test_unknown_level_and_bad_path_are_errors(void **state)
 {
     (void)state;
     struct sas_error error = {0};
@@ -124,14 +124,14 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test_setup_teardown(test_line_is_one_json_object, setup,
                                         teardown),
-        cmocka_unit_test_setup_teardown(test_level_holds_back_finer_lines,
-                                        setup, teardown),
         cmocka_unit_test_setup_teardown(
-            test_bytes_that_are_not_utf8_lose_no_line, setup, teardown),
+            test_lines_below_the_level_are_not_written, setup, teardown),
+        cmocka_unit_test_setup_teardown(test_invalid_utf8_is_replaced, setup,
+                                        teardown),
         cmocka_unit_test_setup_teardown(test_closed_log_ignores_lines, setup,
                                         teardown),
-        cmocka_unit_test_setup_teardown(test_bad_level_and_path_are_errors,
-                                        setup, teardown),
+        cmocka_unit_test_setup_teardown(
+            test_unknown_level_and_bad_path_are_errors, setup, teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/observe/tests/test_log_output.c
+++ b/packages/observe/tests/test_log_output.c
@@ -10,20 +10,20 @@
 
 #define SECOND_US 1000000
 
-/* Whatever is in the pipe now. */
+/* Reads up to size - 1 bytes; returns how many. */
 static size_t
-drain(int fd, char *bytes, size_t size)
+read_bytes(int fd, char *bytes, size_t size)
 {
     ssize_t count = read(fd, bytes, size - 1);
     bytes[count > 0 ? count : 0] = '\0';
     return count > 0 ? (size_t)count : 0;
 }
 
-/* The log's reader hangs while the process goes on logging. Were writes to
- * wait for it, every request of the process would hang with it: lines are
- * dropped instead, whole ones, and their number is told. */
+/* The reader of the log stops while the process keeps logging. A write that
+ * blocked would stall every request of the process, so whole lines are dropped
+ * and counted instead. */
 static void
-test_a_reader_that_hangs_loses_whole_lines(void **state)
+test_stalled_reader_drops_whole_lines(void **state)
 {
     (void)state;
     int ends[2];
@@ -34,21 +34,21 @@
     memset(line, 'x', sizeof(line) - 1);
     line[sizeof(line) - 1] = '\0';
     for (int i = 0; i < 1000; i++) {
-        SasLogOutput_Put(&output, line);
+        SasLogOutput_WriteLine(&output, line);
     }
-    uint64_t dropped = SasLogOutput_TakeDropped(&output);
+    uint64_t dropped = SasLogOutput_ResetDropped(&output);
     assert_true(dropped > 0 && dropped < 1000);
-    assert_int_equal(SasLogOutput_TakeDropped(&output), 0);
+    assert_int_equal(SasLogOutput_ResetDropped(&output), 0);
     size_t bytes = 0;
     char buffer[8192];
     for (size_t size = 1; size > 0;) {
-        size = drain(ends[0], buffer, sizeof(buffer));
+        size = read_bytes(ends[0], buffer, sizeof(buffer));
         bytes += size;
         if (size < sizeof(buffer) - 1) {
-            SasLogOutput_Put(&output, "last");
+            SasLogOutput_WriteLine(&output, "last");
             SasLogOutput_Close(&output);
-            bytes += drain(ends[0], buffer, sizeof(buffer));
-            while ((size = drain(ends[0], buffer, sizeof(buffer))) > 0) {
+            bytes += read_bytes(ends[0], buffer, sizeof(buffer));
+            while ((size = read_bytes(ends[0], buffer, sizeof(buffer))) > 0) {
                 bytes += size;
             }
             break;
@@ -58,11 +58,11 @@
     close(ends[0]);
 }
 
-/* A flood of requests writes a line each. Without a bound the log takes the
- * processor from the requests; without the reserve it hides that a server
- * was given up. */
+/* A flood of requests logs a line each. Without the rate limit logging uses
+ * CPU time that the requests need; without the reserve the lines that report
+ * an ejected server are dropped. */
 static void
-test_a_flood_of_requests_leaves_room_for_news(void **state)
+test_reserve_admits_high_priority_lines(void **state)
 {
     (void)state;
     struct sas_log_output output;
@@ -74,8 +74,8 @@
     }
     assert_int_equal(admitted, 75);
     assert_true(SasLogOutput_Admit(&output, true, 0));
-    assert_int_equal(SasLogOutput_TakeDropped(&output), 925);
-    /* A second later as many fit again. */
+    assert_int_equal(SasLogOutput_ResetDropped(&output), 925);
+    /* A second later the bucket is full again. */
     admitted = 0;
     for (int i = 0; i < 1000; i++) {
         admitted += SasLogOutput_Admit(&output, true, SECOND_US) ? 1 : 0;
@@ -88,8 +88,8 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_a_reader_that_hangs_loses_whole_lines),
-        cmocka_unit_test(test_a_flood_of_requests_leaves_room_for_news),
+        cmocka_unit_test(test_stalled_reader_drops_whole_lines),
+        cmocka_unit_test(test_reserve_admits_high_priority_lines),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/observe/tests/test_metrics.c
+++ b/packages/observe/tests/test_metrics.c
@@ -23,7 +23,7 @@
 }
 
 static void
-test_same_name_and_value_share_a_handle(void **state)
+test_same_name_and_value_return_the_same_handle(void **state)
 {
     struct sas_metrics *metrics = *state;
     int a = SasMetrics_Register(metrics, "x_total", "reason", "a", "help");
@@ -37,7 +37,7 @@
 }
 
 static void
-test_wrong_names_and_clashes_are_refused(void **state)
+test_invalid_and_conflicting_names_are_refused(void **state)
 {
     struct sas_metrics *metrics = *state;
     int counter = SasMetrics_Register(metrics, "x_total", NULL, NULL, "h");
@@ -64,7 +64,7 @@
 }
 
 static void
-test_format_is_ordered_and_escaped(void **state)
+test_format_sorts_and_escapes(void **state)
 {
     struct sas_metrics *metrics = *state;
     SasMetrics_Register(metrics, "z_total", "reason", "b", "last");
@@ -85,7 +85,7 @@
 }
 
 static void
-test_table_is_bounded(void **state)
+test_number_of_metrics_is_limited(void **state)
 {
     struct sas_metrics *metrics = *state;
     char value[16];
@@ -101,7 +101,7 @@
 }
 
 static void
-test_a_histogram_counts_up_to_each_bound(void **state)
+test_histogram_buckets_are_cumulative(void **state)
 {
     (void)state;
     struct sas_metrics *metrics = SasMetrics_New();
@@ -138,15 +138,15 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_a_histogram_counts_up_to_each_bound),
+        cmocka_unit_test(test_histogram_buckets_are_cumulative),
         cmocka_unit_test_setup_teardown(
-            test_same_name_and_value_share_a_handle, setup, teardown),
+            test_same_name_and_value_return_the_same_handle, setup, teardown),
         cmocka_unit_test_setup_teardown(
-            test_wrong_names_and_clashes_are_refused, setup, teardown),
-        cmocka_unit_test_setup_teardown(test_format_is_ordered_and_escaped,
-                                        setup, teardown),
-        cmocka_unit_test_setup_teardown(test_table_is_bounded, setup,
+            test_invalid_and_conflicting_names_are_refused, setup, teardown),
+        cmocka_unit_test_setup_teardown(test_format_sorts_and_escapes, setup,
                                         teardown),
+        cmocka_unit_test_setup_teardown(test_number_of_metrics_is_limited,
+                                        setup, teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
