--- a/packages/settings/src/fields.c
+++ b/packages/settings/src/fields.c
@@ -23,18 +23,18 @@
     [SasField_REAL] = SasToml_REAL,
     [SasField_BOOLEAN] = SasToml_BOOLEAN,
     [SasField_REFERENCE] = SasToml_STRING,
-    [SasField_TREE] = SasToml_ARRAY,
+    [SasField_ARRAY] = SasToml_ARRAY,
 };
 
-/* Where a value stands, for messages. */
-struct place {
+/* A value of the file and the field that it is for. */
+struct field_value {
     const char *section;
     const struct sas_field *field;
     const struct sas_toml *value;
 };
 
-static void read_value(struct sas_reader *reader, const struct place *place,
-                       void *target);
+static void read_value(struct sas_reader *reader,
+                       const struct field_value *input, void *target);
 
 static void
 clear_problem(gpointer data)
@@ -58,24 +58,24 @@
 }
 
 void
-SasReader_Complain(struct sas_reader *reader, int line, const char *section,
-                   const char *key, const char *format, ...)
+SasReader_AddProblem(struct sas_reader *reader, int line, const char *section,
+                     const char *key, const char *format, ...)
 {
     va_list arguments;
     va_start(arguments, format);
     g_autofree char *reason = g_strdup_vprintf(format, arguments);
     va_end(arguments);
-    const char *point = section[0] != '\0' && key != NULL ? "." : "";
+    const char *separator = section[0] != '\0' && key != NULL ? "." : "";
     struct sas_problem problem = {
         .line = line,
-        .text = g_strdup_printf("%s%s%s: %s", section, point,
+        .text = g_strdup_printf("%s%s%s: %s", section, separator,
                                 key != NULL ? key : "", reason),
     };
     g_array_append_val(reader->problems, problem);
 }
 
-/* Problems of one line stay in the order in which they were found, since
- * g_array_sort is stable. */
+/* Compares lines only: g_array_sort is stable, so that problems of one line
+ * stay in the order in which they were found. */
 static gint
 compare_problems(gconstpointer a, gconstpointer b)
 {
@@ -91,7 +91,7 @@
 }
 
 static void
-refuse_unknown_keys(struct sas_reader *reader, const char *section,
+report_unknown_keys(struct sas_reader *reader, const char *section,
                     const struct sas_toml *table,
                     const struct sas_field *fields, int field_count)
 {
@@ -102,13 +102,13 @@
             known = known || strcmp(child->key, fields[j].key) == 0;
         }
         if (!known) {
-            SasReader_Complain(reader, child->line, section, child->key,
-                               "unknown key");
+            SasReader_AddProblem(reader, child->line, section, child->key,
+                                 "unknown key");
         }
     }
 }
 
-/* A reference that the caller has filled with a default is not missing. */
+/* A reference is not missing if its default is a handle. */
 static bool
 is_missing(const struct sas_field *field, const void *target)
 {
@@ -124,28 +124,28 @@
                     const struct sas_field *fields, int field_count,
                     void *target)
 {
-    refuse_unknown_keys(reader, section, table, fields, field_count);
+    report_unknown_keys(reader, section, table, fields, field_count);
     for (int i = 0; i < field_count; i++) {
         const struct sas_field *field = &fields[i];
-        void *place_in_target = (char *)target + field->offset;
+        void *member = (char *)target + field->offset;
         const struct sas_toml *value = SasToml_Find(table, field->key);
         if (value != NULL) {
-            struct place place = {section, field, value};
-            read_value(reader, &place, place_in_target);
+            struct field_value input = {section, field, value};
+            read_value(reader, &input, member);
         }
-        else if (is_missing(field, place_in_target)) {
-            SasReader_Complain(reader, table->line, section, field->key,
-                               "missing");
+        else if (is_missing(field, member)) {
+            SasReader_AddProblem(reader, table->line, section, field->key,
+                                 "missing");
         }
     }
 }
 
 static void
-complain(struct sas_reader *reader, const struct place *place,
-         const char *reason, const char *value)
+add_value_problem(struct sas_reader *reader, const struct field_value *input,
+                  const char *reason, const char *value)
 {
-    SasReader_Complain(reader, place->value->line, place->section,
-                       place->field->key, "%s: \"%s\"", reason, value);
+    SasReader_AddProblem(reader, input->value->line, input->section,
+                         input->field->key, "%s: \"%s\"", reason, value);
 }
 
 static bool
@@ -164,56 +164,62 @@
 }
 
 static void
-read_name(struct sas_reader *reader, const struct place *place, char *target)
+read_name(struct sas_reader *reader, const struct field_value *input,
+          char *target)
 {
-    const char *text = place->value->text;
+    const char *text = input->value->text;
     if (!is_name(text)) {
-        complain(reader, place, "not a name (1 to 47 of A-Z a-z 0-9 . _ -)",
-                 text);
+        add_value_problem(reader, input,
+                          "not a name (1 to 47 of A-Z a-z 0-9 . _ -)", text);
         return;
     }
     g_strlcpy(target, text, SasModel_NAME_SIZE);
 }
 
-/* One machine's address; nobody can connect to the unspecified address or
- * serve on a multicast one. */
+/* Refuses the unspecified address, since no client can connect to it, and
+ * multicast addresses, since no server can listen on them. */
 static void
-read_ip(struct sas_reader *reader, const struct place *place, char *target)
+read_ip(struct sas_reader *reader, const struct field_value *input,
+        char *target)
 {
-    const char *text = place->value->text;
-    struct in_addr four;
-    struct in6_addr six;
-    if (inet_pton(AF_INET, text, &four) == 1) {
-        uint32_t address = ntohl(four.s_addr);
+    const char *text = input->value->text;
+    struct in_addr ipv4;
+    struct in6_addr ipv6;
+    if (inet_pton(AF_INET, text, &ipv4) == 1) {
+        uint32_t address = ntohl(ipv4.s_addr);
         if (address == INADDR_ANY || IN_MULTICAST(address)) {
-            complain(reader, place, "not the address of one machine", text);
+            add_value_problem(reader, input,
+                              "unspecified or multicast address", text);
         }
-        inet_ntop(AF_INET, &four, target, SasModel_IP_SIZE);
+        inet_ntop(AF_INET, &ipv4, target, SasModel_IP_SIZE);
         return;
     }
-    if (inet_pton(AF_INET6, text, &six) == 1) {
-        if (IN6_IS_ADDR_UNSPECIFIED(&six) || IN6_IS_ADDR_MULTICAST(&six)) {
-            complain(reader, place, "not the address of one machine", text);
+    if (inet_pton(AF_INET6, text, &ipv6) == 1) {
+        if (IN6_IS_ADDR_UNSPECIFIED(&ipv6) || IN6_IS_ADDR_MULTICAST(&ipv6)) {
+            add_value_problem(reader, input,
+                              "unspecified or multicast address", text);
         }
-        inet_ntop(AF_INET6, &six, target, SasModel_IP_SIZE);
+        inet_ntop(AF_INET6, &ipv6, target, SasModel_IP_SIZE);
         return;
     }
-    complain(reader, place, "not an IP number", text);
+    add_value_problem(reader, input, "not an IP address", text);
 }
 
 static void
-read_number(struct sas_reader *reader, const struct place *place, void *target)
+read_number(struct sas_reader *reader, const struct field_value *input,
+            void *target)
 {
-    const struct sas_field *field = place->field;
-    double number = place->value->real;
-    /* Not a number fails both comparisons, so it is refused too. */
-    if (!(number >= field->least && number <= field->most)) {
-        SasReader_Complain(reader, place->value->line, place->section,
-                           field->key, "%.15g is not within %.15g and %.15g",
-                           number, field->least, field->most);
+    const struct sas_field *field = input->field;
+    double number = input->value->real;
+    /* Written so that NaN is refused, too. */
+    if (!(number >= field->min && number <= field->max)) {
+        SasReader_AddProblem(reader, input->value->line, input->section,
+                             field->key,
+                             "%.15g is not between %.15g and %.15g", number,
+                             field->min, field->max);
         return;
     }
-    int64_t integer = place->value->integer;
+    int64_t integer = input->value->integer;
     switch (field->type) {
     case SasField_INTEGER:
         *(int *)target = (int)integer;
@@ -231,15 +237,15 @@
 }
 
 static void
-read_reference(struct sas_reader *reader, const struct place *place,
+read_reference(struct sas_reader *reader, const struct field_value *input,
                int *target)
 {
-    const struct sas_field *field = place->field;
-    *target = field->find(reader->model, place->value->text);
+    const struct sas_field *field = input->field;
+    *target = field->find(reader->model, input->value->text);
     if (*target == SasModel_NONE) {
-        SasReader_Complain(reader, place->value->line, place->section,
-                           field->key, "no %s is named \"%s\"", field->what,
-                           place->value->text);
+        SasReader_AddProblem(reader, input->value->line, input->section,
+                             field->key, "no %s is named \"%s\"",
+                             field->refers_to, input->value->text);
     }
 }
 
@@ -252,23 +258,24 @@
 }
 
 static void
-read_value(struct sas_reader *reader, const struct place *place, void *target)
+read_value(struct sas_reader *reader, const struct field_value *input,
+           void *target)
 {
-    const struct sas_field *field = place->field;
-    const struct sas_toml *value = place->value;
+    const struct sas_field *field = input->field;
+    const struct sas_toml *value = input->value;
     if (!has_expected_type(field, value->type)) {
-        SasReader_Complain(reader, value->line, place->section, field->key,
-                           "must be %s, is %s",
-                           type_names[expected_types[field->type]],
-                           type_names[value->type]);
+        SasReader_AddProblem(reader, value->line, input->section, field->key,
+                             "must be %s, is %s",
+                             type_names[expected_types[field->type]],
+                             type_names[value->type]);
         return;
     }
     switch (field->type) {
     case SasField_NAME:
-        read_name(reader, place, target);
+        read_name(reader, input, target);
         break;
     case SasField_IP:
-        read_ip(reader, place, target);
+        read_ip(reader, input, target);
         break;
     case SasField_TEXT:
         g_free(*(char **)target);
@@ -278,15 +285,15 @@
     case SasField_MS:
     case SasField_MEGABYTES:
     case SasField_REAL:
-        read_number(reader, place, target);
+        read_number(reader, input, target);
         break;
     case SasField_BOOLEAN:
         *(bool *)target = value->boolean;
         break;
     case SasField_REFERENCE:
-        read_reference(reader, place, target);
+        read_reference(reader, input, target);
         break;
-    case SasField_TREE:
+    case SasField_ARRAY:
         *(const struct sas_toml **)target = value;
         break;
     }
--- a/packages/settings/src/loader.c
+++ b/packages/settings/src/loader.c
@@ -8,43 +8,45 @@
 }
 
 void
-SasLoader_Claim(struct sas_loader *loader, const char *kind, const char *what,
-                int line, const char *section, const char *key)
+SasLoader_CheckUnique(struct sas_loader *loader, const char *kind,
+                      const char *value, int line, const char *section,
+                      const char *key)
 {
-    char *entry = g_strdup_printf("%s %s", kind, what);
-    gpointer first = g_hash_table_lookup(loader->taken, entry);
-    if (first != NULL) {
-        SasReader_Complain(&loader->reader, line, section, key,
-                           "%s is already used in line %d", what,
-                           GPOINTER_TO_INT(first));
+    char *entry = g_strdup_printf("%s %s", kind, value);
+    gpointer first_line = g_hash_table_lookup(loader->first_lines, entry);
+    if (first_line != NULL) {
+        SasReader_AddProblem(&loader->reader, line, section, key,
+                             "%s is already used in line %d", value,
+                             GPOINTER_TO_INT(first_line));
         g_free(entry);
         return;
     }
-    g_hash_table_insert(loader->taken, entry, GINT_TO_POINTER(line));
+    g_hash_table_insert(loader->first_lines, entry, GINT_TO_POINTER(line));
 }
 
 void
-SasLoader_ClaimName(struct sas_loader *loader, const char *kind,
-                    const char *name, const struct sas_toml *table,
-                    const char *section)
+SasLoader_CheckUniqueName(struct sas_loader *loader, const char *kind,
+                          const char *name, const struct sas_toml *table,
+                          const char *section)
 {
     if (name[0] != '\0') {
-        SasLoader_Claim(loader, kind, name, SasLoader_GetLine(table, "name"),
-                        section, "name");
+        SasLoader_CheckUnique(loader, kind, name,
+                              SasLoader_GetLine(table, "name"), section,
+                              "name");
     }
 }
 
 void
-SasLoader_ClaimAddress(struct sas_loader *loader,
-                       const struct sas_address *address,
-                       const struct sas_toml *table, const char *section,
-                       const char *key)
+SasLoader_CheckUniqueAddress(struct sas_loader *loader,
+                             const struct sas_address *address,
+                             const struct sas_toml *table, const char *section,
+                             const char *key)
 {
     if (address->ip[0] != '\0' && address->port != 0) {
-        g_autofree char *what =
+        g_autofree char *value =
             g_strdup_printf("%s port %d", address->ip, address->port);
-        SasLoader_Claim(loader, "address", what, SasLoader_GetLine(table, key),
-                        section, key);
+        SasLoader_CheckUnique(loader, "address", value,
+                              SasLoader_GetLine(table, key), section, key);
     }
 }
 
@@ -57,8 +59,8 @@
         return &empty;
     }
     if (section->type != SasToml_TABLE) {
-        SasReader_Complain(&loader->reader, section->line, name, NULL,
-                           "must be one table, [%s]", name);
+        SasReader_AddProblem(&loader->reader, section->line, name, NULL,
+                             "must be one table, [%s]", name);
         return &empty;
     }
     return section;
@@ -72,13 +74,13 @@
     if (rows == NULL) {
         return &empty;
     }
-    bool tables = rows->type == SasToml_ARRAY;
-    for (int i = 0; tables && i < rows->child_count; i++) {
-        tables = rows->children[i].type == SasToml_TABLE;
+    bool all_tables = rows->type == SasToml_ARRAY;
+    for (int i = 0; all_tables && i < rows->child_count; i++) {
+        all_tables = rows->children[i].type == SasToml_TABLE;
     }
-    if (!tables) {
-        SasReader_Complain(&loader->reader, rows->line, name, NULL,
-                           "must be tables, [[%s]]", name);
+    if (!all_tables) {
+        SasReader_AddProblem(&loader->reader, rows->line, name, NULL,
+                             "must be an array of tables, [[%s]]", name);
         return &empty;
     }
     return rows;
@@ -91,7 +93,7 @@
     if (rows->child_count <= limit) {
         return rows->child_count;
     }
-    SasReader_Complain(&loader->reader, rows->children[limit].line, section,
-                       NULL, "more than %d", limit);
+    SasReader_AddProblem(&loader->reader, rows->children[limit].line, section,
+                         NULL, "more than %d tables", limit);
     return limit;
 }
--- a/packages/settings/src/secret.c
+++ b/packages/settings/src/secret.c
@@ -43,7 +43,7 @@
 {
     struct stat status;
     if (fstat(fd, &status) != 0 || !S_ISREG(status.st_mode)) {
-        SasError_Set(error, SAS_EIO, STEP, "", "%s: not a plain file", path);
+        SasError_Set(error, SAS_EIO, STEP, "", "%s: not a regular file", path);
         return -1;
     }
     if ((status.st_mode & S_IROTH) != 0) {
--- a/packages/settings/src/settings.c
+++ b/packages/settings/src/settings.c
@@ -16,9 +16,9 @@
 #define DEFAULT_SERVER_QUEUE 3
 #define MAX_SERVER_QUEUE 100
 #define DEFAULT_RETRY_SHARE 0.1
-/* Longer than an answer to a look-up may live in a caller's cache. */
+/* Exceeds the longest TTL of a lookup answer, 25 s. */
 #define DEFAULT_DRAIN_NOTICE_MS 30000
-/* The notice, and after it the longest deadline that a request may have. */
+/* Exceeds DEFAULT_DRAIN_NOTICE_MS plus SasLoader_MAX_DEADLINE_MS, 330 s. */
 #define DEFAULT_STOP_LIMIT_MS 360000
 
 #define MAX_STOP_MS 3600000
@@ -42,16 +42,18 @@
     return SasSettings_LoadText(settings, text, path, error);
 }
 
-/* Fills in the settings and gives back the problems, in order. */
+/* Fills in the settings, and the reader with the problems, sorted by line. The
+ * caller releases both. */
 static void
 load(struct sas_settings *settings, const char *text,
-     struct sas_reader *problems)
+     struct sas_reader *reader)
 {
     memset(settings, 0, sizeof(*settings));
     struct sas_loader loader = {
         .settings = settings,
         .model = &settings->model,
-        .taken = g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
+        .first_lines =
+            g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL),
     };
     SasReader_Init(&loader.reader, &settings->model);
     struct sas_toml *document = parse(&loader.reader, text);
@@ -60,9 +62,9 @@
         load_document(&loader);
     }
     SasToml_Free(document);
-    g_hash_table_destroy(loader.taken);
+    g_hash_table_destroy(loader.first_lines);
     SasReader_SortProblems(&loader.reader);
-    *problems = loader.reader;
+    *reader = loader.reader;
 }
 
 int
@@ -123,14 +125,14 @@
     if (vm != SasModel_NONE) {
         return vm;
     }
-    g_autoptr(GString) known = g_string_new(NULL);
+    g_autoptr(GString) names = g_string_new(NULL);
     for (int i = 0; i < settings->model.vm_count; i++) {
-        g_string_append_printf(known, "%s%s", i == 0 ? "" : ", ",
+        g_string_append_printf(names, "%s%s", i == 0 ? "" : ", ",
                                settings->model.vms[i].name);
     }
     SasError_Set(error, SAS_ENOTFOUND, "settings.vm", "",
-                 "no entry VM is named \"%s\"; there are: %s", name,
-                 known->str);
+                 "no entry VM is named \"%s\"; the settings define: %s", name,
+                 names->str);
     return SasModel_NONE;
 }
 
@@ -142,13 +144,13 @@
     struct sas_toml *document =
         SasToml_Parse(text, strlen(text), &line, &reason);
     if (document == NULL) {
-        SasReader_Complain(reader, line, "syntax", NULL, "%s", reason);
+        SasReader_AddProblem(reader, line, "syntax", NULL, "%s", reason);
     }
     return document;
 }
 
-/* Relative paths start at the folder of the settings file, wherever the
- * process was started. */
+/* Resolves a relative path against the directory of the settings file, not
+ * the working directory. */
 static void
 resolve_path(char **path, const char *name)
 {
@@ -177,13 +179,14 @@
             found = found || strcmp(section->key, known[j]) == 0;
         }
         if (!found) {
-            SasReader_Complain(&loader->reader, section->line, "",
-                               section->key, "unknown section");
+            SasReader_AddProblem(&loader->reader, section->line, "",
+                                 section->key, "unknown section");
         }
     }
 }
 
-/* "+05:00" or "-03:30" to seconds; false when it is anything else. */
+/* Converts "+05:00" or "-03:30" to seconds; false if it is not an offset of
+ * this form, up to 14 hours. */
 static bool
 parse_utc_offset(const char *text, int64_t *offset_s)
 {
@@ -214,7 +217,7 @@
         {SasLoader_FIELD(deployment_row, name, NAME)},
         {SasLoader_FIELD(deployment_row, utc_offset, TEXT)},
         {SasLoader_FIELD(deployment_row, default_home, REFERENCE),
-         .find = SasModel_FindRegion, .what = "region"},
+         .find = SasModel_FindRegion, .refers_to = "region"},
     };
     const struct sas_toml *table = SasLoader_GetSection(loader, "deployment");
     struct deployment_row row = {.name = "sassafrassill"};
@@ -225,7 +228,7 @@
     settings->model.default_home = row.default_home;
     if (row.utc_offset != NULL &&
         !parse_utc_offset(row.utc_offset, &settings->utc_offset_s)) {
-        SasReader_Complain(
+        SasReader_AddProblem(
             &loader->reader, SasLoader_GetLine(table, "utc_offset"),
             "deployment", "utc_offset", "not an offset such as -05:00: \"%s\"",
             row.utc_offset);
@@ -243,38 +246,38 @@
     };
     static const struct sas_field fields[] = {
         {SasLoader_FIELD(store_row, ip, IP)},
-        {SasLoader_FIELD(store_row, port, INTEGER), .least = 1,
-         .most = SasLoader_MAX_PORT},
+        {SasLoader_FIELD(store_row, port, INTEGER), .min = 1,
+         .max = SasLoader_MAX_PORT},
         {SasLoader_FIELD(store_row, embedded, BOOLEAN)},
     };
     const struct sas_toml *table = SasLoader_GetSection(loader, "store");
     struct store_row row = {.embedded = false};
-    guint problems = loader->reader.problems->len;
+    guint problem_count = loader->reader.problems->len;
     SasReader_ReadTable(&loader->reader, "store", table, fields,
                         G_N_ELEMENTS(fields), &row);
     loader->settings->embedded_store = row.embedded;
     g_strlcpy(loader->settings->store.ip, row.ip,
               sizeof(loader->settings->store.ip));
     loader->settings->store.port = row.port;
-    SasLoader_ClaimAddress(loader, &loader->settings->store, table, "store",
-                           "port");
-    if (loader->reader.problems->len > problems) {
+    SasLoader_CheckUniqueAddress(loader, &loader->settings->store, table,
+                                 "store", "port");
+    if (loader->reader.problems->len > problem_count) {
         return;
     }
-    bool addressed = row.ip[0] != '\0' && row.port != 0;
-    if (!row.embedded && !addressed) {
-        SasReader_Complain(&loader->reader, table->line, "store", NULL,
-                           "needs ip and port, or embedded = true");
+    bool has_address = row.ip[0] != '\0' && row.port != 0;
+    if (!row.embedded && !has_address) {
+        SasReader_AddProblem(&loader->reader, table->line, "store", NULL,
+                             "needs ip and port, or embedded = true");
     }
     if (row.embedded && (row.ip[0] != '\0' || row.port != 0)) {
-        SasReader_Complain(&loader->reader,
-                           SasLoader_GetLine(table, "embedded"), "store",
-                           "embedded", "true, but an ip or port is given too");
+        SasReader_AddProblem(&loader->reader,
+                             SasLoader_GetLine(table, "embedded"), "store",
+                             "embedded", "can't be combined with ip or port");
     }
 }
 
-/* A request that comes at the end of the notice still has its whole deadline;
- * a shorter limit would let a planned stop cut it off. */
+/* A request accepted at the end of the drain notice may take its whole
+ * deadline; a shorter limit would fail it in a graceful shutdown. */
 static void
 check_stop_limit(struct sas_loader *loader, const struct sas_toml *table,
                  int64_t drain_notice_ms, int64_t stop_limit_ms)
@@ -284,12 +287,12 @@
         deadline_ms = MAX(deadline_ms, loader->model->services[i].deadline_ms);
     }
     if (stop_limit_ms < drain_notice_ms + deadline_ms) {
-        SasReader_Complain(&loader->reader,
-                           SasLoader_GetLine(table, "stop_limit_ms"), "limits",
-                           "stop_limit_ms",
-                           "less than drain_notice_ms and the longest "
-                           "deadline_ms together, %" PRId64,
-                           drain_notice_ms + deadline_ms);
+        SasReader_AddProblem(&loader->reader,
+                             SasLoader_GetLine(table, "stop_limit_ms"),
+                             "limits", "stop_limit_ms",
+                             "less than drain_notice_ms plus the longest "
+                             "deadline_ms, %" PRId64,
+                             drain_notice_ms + deadline_ms);
     }
 }
 
@@ -307,20 +310,19 @@
         char *placement;
     };
     static const struct sas_field fields[] = {
-        {SasLoader_FIELD(limits_row, body_limit_mb, MEGABYTES), .least = 1,
-         .most = MAX_MEGABYTES},
-        {SasLoader_FIELD(limits_row, bodies_limit_mb, MEGABYTES), .least = 1,
-         .most = MAX_MEGABYTES},
-        {SasLoader_FIELD(limits_row, queue_wait_ms, MS), .least = 0,
-         .most = SasLoader_MAX_DEADLINE_MS},
-        {SasLoader_FIELD(limits_row, server_queue, INTEGER), .least = 0,
-         .most = MAX_SERVER_QUEUE},
-        {SasLoader_FIELD(limits_row, retry_share, REAL), .least = 0,
-         .most = 1},
-        {SasLoader_FIELD(limits_row, drain_notice_ms, MS), .least = 0,
-         .most = MAX_STOP_MS},
-        {SasLoader_FIELD(limits_row, stop_limit_ms, MS), .least = 1,
-         .most = MAX_STOP_MS},
+        {SasLoader_FIELD(limits_row, body_limit_mb, MEGABYTES), .min = 1,
+         .max = MAX_MEGABYTES},
+        {SasLoader_FIELD(limits_row, bodies_limit_mb, MEGABYTES), .min = 1,
+         .max = MAX_MEGABYTES},
+        {SasLoader_FIELD(limits_row, queue_wait_ms, MS), .min = 0,
+         .max = SasLoader_MAX_DEADLINE_MS},
+        {SasLoader_FIELD(limits_row, server_queue, INTEGER), .min = 0,
+         .max = MAX_SERVER_QUEUE},
+        {SasLoader_FIELD(limits_row, retry_share, REAL), .min = 0, .max = 1},
+        {SasLoader_FIELD(limits_row, drain_notice_ms, MS), .min = 0,
+         .max = MAX_STOP_MS},
+        {SasLoader_FIELD(limits_row, stop_limit_ms, MS), .min = 1,
+         .max = MAX_STOP_MS},
         {SasLoader_FIELD(limits_row, placement, TEXT)},
     };
     const struct sas_toml *table = SasLoader_GetSection(loader, "limits");
@@ -337,10 +339,9 @@
     SasReader_ReadTable(&loader->reader, "limits", table, fields,
                         G_N_ELEMENTS(fields), &row);
     if (row.bodies_limit_mb < row.body_limit_mb) {
-        SasReader_Complain(&loader->reader,
-                           SasLoader_GetLine(table, "bodies_limit_mb"),
-                           "limits", "bodies_limit_mb",
-                           "less than one body of body_limit_mb");
+        SasReader_AddProblem(
+            &loader->reader, SasLoader_GetLine(table, "bodies_limit_mb"),
+            "limits", "bodies_limit_mb", "less than body_limit_mb");
     }
     check_stop_limit(loader, table, row.drain_notice_ms, row.stop_limit_ms);
     struct sas_settings *settings = loader->settings;
@@ -381,7 +382,7 @@
                         G_N_ELEMENTS(fields), &row);
     loader->settings->log_level = row.level;
     if (SasLog_FindLevel(row.level) < 0) {
-        SasReader_Complain(
+        SasReader_AddProblem(
             &loader->reader, SasLoader_GetLine(table, "level"), "log", "level",
             "not one of error, warn, info, debug: \"%s\"", row.level);
     }
@@ -394,7 +395,7 @@
            strcmp(address->ip, "::1") == 0;
 }
 
-/* Each kind of row must be there at least once. */
+/* Adds a problem for each of these sections without a row. */
 static void
 check_presence(struct sas_loader *loader)
 {
@@ -409,16 +410,16 @@
     };
     for (size_t i = 0; i < G_N_ELEMENTS(needed); i++) {
         if (needed[i].count == 0) {
-            SasReader_Complain(&loader->reader, 1, needed[i].section, NULL,
-                               "at least one [[%s]] is needed",
-                               needed[i].section);
+            SasReader_AddProblem(&loader->reader, 1, needed[i].section, NULL,
+                                 "at least one [[%s]] is needed",
+                                 needed[i].section);
         }
     }
 }
 
-/* Only a trial on one machine may do without the shared key and the token:
- * elsewhere anybody who reaches the ports could speak as a peer or as an
- * operator. */
+/* The shared key and the token are optional only if all entry VMs listen on
+ * loopback: elsewhere any host that reaches the ports could pose as a peer or
+ * as an operator. A single entry VM has no peers and needs no key. */
 static void
 check_security(struct sas_loader *loader)
 {
@@ -432,26 +433,27 @@
     }
     int line = SasLoader_GetLine(loader->document, "security");
     if (settings->peer_key_file == NULL && settings->model.vm_count > 1) {
-        SasReader_Complain(&loader->reader, line, "security", "peer_key_file",
-                           "missing; only on loopback can it be left out");
+        SasReader_AddProblem(&loader->reader, line, "security",
+                             "peer_key_file",
+                             "missing; optional on loopback only");
     }
     if (settings->admin_token_file == NULL) {
-        SasReader_Complain(&loader->reader, line, "security",
-                           "admin_token_file",
-                           "missing; only on loopback can it be left out");
+        SasReader_AddProblem(&loader->reader, line, "security",
+                             "admin_token_file",
+                             "missing; optional on loopback only");
     }
 }
 
-/* Each process would have an embedded store of its own, with claims and
- * configurations that the others do not see. */
+/* Each process would have its own embedded store and wouldn't see the claims
+ * and configurations of the others. */
 static void
 check_embedded_store(struct sas_loader *loader)
 {
     if (loader->settings->embedded_store && loader->model->vm_count > 1) {
         const struct sas_toml *table = SasLoader_GetSection(loader, "store");
-        SasReader_Complain(
+        SasReader_AddProblem(
             &loader->reader, SasLoader_GetLine(table, "embedded"), "store",
-            "embedded", "true works with one entry VM only, here are %d",
+            "embedded", "true allows one entry VM only, found %d",
             loader->model->vm_count);
     }
 }
--- a/packages/settings/src/tables.c
+++ b/packages/settings/src/tables.c
@@ -13,21 +13,21 @@
 #define MAX_CONNECTIONS 1000000
 #define MAX_MBIT_PER_S 10000000
 
-/* A block and where it stands, so that duplicates found after sorting can be
- * named. */
+/* A block and its line, for problems that are found after sorting. */
 struct block_row {
     struct sas_block block;
     int line;
 };
 
-/* The handle that an absent reference means: the only row there is. */
+/* The default of a reference: the only row, or else SasModel_NONE, which makes
+ * an absent reference a problem. */
 static int
-get_sole(int count)
+get_default_reference(int count)
 {
     return count == 1 ? 0 : SasModel_NONE;
 }
 
-/* Without a [[region]] there is one, named "local". */
+/* Without any [[region]], the model has one region, named "local". */
 static void
 load_regions(struct sas_loader *loader)
 {
@@ -44,7 +44,8 @@
         struct sas_region *region = &model->regions[model->region_count++];
         SasReader_ReadTable(&loader->reader, "region", row, fields,
                             G_N_ELEMENTS(fields), region);
-        SasLoader_ClaimName(loader, "region", region->name, row, "region");
+        SasLoader_CheckUniqueName(loader, "region", region->name, row,
+                                  "region");
     }
     if (count == 0) {
         g_strlcpy(model->regions[0].name, "local", SasModel_NAME_SIZE);
@@ -52,7 +53,8 @@
     }
 }
 
-/* Without a [[failure_domain]] each region is one, of the same name. */
+/* Without any [[failure_domain]], each region is a failure domain of the same
+ * name. */
 static void
 default_domains(struct sas_model *model)
 {
@@ -71,7 +73,7 @@
     static const struct sas_field fields[] = {
         {SasLoader_FIELD(sas_domain, name, NAME), .required = true},
         {SasLoader_FIELD(sas_domain, region, REFERENCE), .required = true,
-         .find = SasModel_FindRegion, .what = "region"},
+         .find = SasModel_FindRegion, .refers_to = "region"},
     };
     struct sas_model *model = loader->model;
     const struct sas_toml *rows = SasLoader_GetRows(loader, "failure_domain");
@@ -85,11 +87,11 @@
     for (int i = 0; i < count; i++) {
         const struct sas_toml *row = &rows->children[i];
         struct sas_domain *domain = &model->domains[model->domain_count++];
-        domain->region = get_sole(model->region_count);
+        domain->region = get_default_reference(model->region_count);
         SasReader_ReadTable(&loader->reader, "failure_domain", row, fields,
                             G_N_ELEMENTS(fields), domain);
-        SasLoader_ClaimName(loader, "failure domain", domain->name, row,
-                            "failure_domain");
+        SasLoader_CheckUniqueName(loader, "failure domain", domain->name, row,
+                                  "failure_domain");
     }
 }
 
@@ -98,11 +100,11 @@
 {
     static const struct sas_field fields[] = {
         {SasLoader_FIELD(sas_link, from, REFERENCE), .required = true,
-         .find = SasModel_FindRegion, .what = "region"},
+         .find = SasModel_FindRegion, .refers_to = "region"},
         {SasLoader_FIELD(sas_link, to, REFERENCE), .required = true,
-         .find = SasModel_FindRegion, .what = "region"},
+         .find = SasModel_FindRegion, .refers_to = "region"},
         {SasLoader_FIELD(sas_link, mbit_per_s, REAL), .required = true,
-         .least = 0.001, .most = MAX_MBIT_PER_S},
+         .min = 0.001, .max = MAX_MBIT_PER_S},
     };
     struct sas_model *model = loader->model;
     const struct sas_toml *rows = SasLoader_GetRows(loader, "link");
@@ -118,13 +120,14 @@
             continue;
         }
         if (link->from == link->to) {
-            SasReader_Complain(&loader->reader, SasLoader_GetLine(row, "to"),
-                               "link", "to", "the same region as from");
+            SasReader_AddProblem(&loader->reader, SasLoader_GetLine(row, "to"),
+                                 "link", "to", "the same region as from");
         }
-        g_autofree char *what =
+        g_autofree char *regions =
             g_strdup_printf("from %s to %s", model->regions[link->from].name,
                             model->regions[link->to].name);
-        SasLoader_Claim(loader, "link", what, row->line, "link", NULL);
+        SasLoader_CheckUnique(loader, "link", regions, row->line, "link",
+                              NULL);
     }
 }
 
@@ -142,14 +145,14 @@
     static const struct sas_field fields[] = {
         {SasLoader_FIELD(vm_row, name, NAME), .required = true},
         {SasLoader_FIELD(vm_row, failure_domain, REFERENCE), .required = true,
-         .find = SasModel_FindDomain, .what = "failure domain"},
+         .find = SasModel_FindDomain, .refers_to = "failure domain"},
         {SasLoader_FIELD(vm_row, ip, IP), .required = true},
-        {SasLoader_FIELD(vm_row, caller_port, INTEGER), .least = 1,
-         .most = SasLoader_MAX_PORT},
-        {SasLoader_FIELD(vm_row, peer_port, INTEGER), .least = 1,
-         .most = SasLoader_MAX_PORT},
-        {SasLoader_FIELD(vm_row, admin_port, INTEGER), .least = 1,
-         .most = SasLoader_MAX_PORT},
+        {SasLoader_FIELD(vm_row, caller_port, INTEGER), .min = 1,
+         .max = SasLoader_MAX_PORT},
+        {SasLoader_FIELD(vm_row, peer_port, INTEGER), .min = 1,
+         .max = SasLoader_MAX_PORT},
+        {SasLoader_FIELD(vm_row, admin_port, INTEGER), .min = 1,
+         .max = SasLoader_MAX_PORT},
     };
     struct sas_model *model = loader->model;
     const struct sas_toml *rows = SasLoader_GetRows(loader, "entry_vm");
@@ -157,7 +160,7 @@
     for (int i = 0; i < rows->child_count; i++) {
         const struct sas_toml *table = &rows->children[i];
         struct vm_row row = {
-            .failure_domain = get_sole(model->domain_count),
+            .failure_domain = get_default_reference(model->domain_count),
             .caller_port = DEFAULT_CALLER_PORT,
             .peer_port = DEFAULT_PEER_PORT,
             .admin_port = DEFAULT_ADMIN_PORT,
@@ -173,14 +176,16 @@
         vm->caller.port = row.caller_port;
         vm->peer.port = row.peer_port;
         vm->admin.port = row.admin_port;
-        /* A drain names an entry VM or a backend server alike. */
-        SasLoader_ClaimName(loader, "server", vm->name, table, "entry_vm");
-        SasLoader_ClaimAddress(loader, &vm->caller, table, "entry_vm",
-                               "caller_port");
-        SasLoader_ClaimAddress(loader, &vm->peer, table, "entry_vm",
-                               "peer_port");
-        SasLoader_ClaimAddress(loader, &vm->admin, table, "entry_vm",
-                               "admin_port");
+        /* Entry VMs and backend servers share one kind of name, because a
+         * drain order may name either. */
+        SasLoader_CheckUniqueName(loader, "server", vm->name, table,
+                                  "entry_vm");
+        SasLoader_CheckUniqueAddress(loader, &vm->caller, table, "entry_vm",
+                                     "caller_port");
+        SasLoader_CheckUniqueAddress(loader, &vm->peer, table, "entry_vm",
+                                     "peer_port");
+        SasLoader_CheckUniqueAddress(loader, &vm->admin, table, "entry_vm",
+                                     "admin_port");
     }
 }
 
@@ -191,20 +196,23 @@
     service->once_routes = g_new0(struct sas_once_route, once->child_count);
     for (int i = 0; i < once->child_count; i++) {
         const struct sas_toml *value = &once->children[i];
-        bool path = value->type == SasToml_STRING && value->text[0] == '/' &&
-                    strpbrk(value->text, "?# ") == NULL;
-        if (!path) {
-            SasReader_Complain(&loader->reader, value->line, "service", "once",
-                               "each must be a path that starts with /");
+        bool is_path = value->type == SasToml_STRING &&
+                       value->text[0] == '/' &&
+                       strpbrk(value->text, "?# ") == NULL;
+        if (!is_path) {
+            SasReader_AddProblem(
+                &loader->reader, value->line, "service", "once",
+                "each must be a path that starts with / and has "
+                "no ?, # or space");
             continue;
         }
         struct sas_once_route *route =
             &service->once_routes[service->once_route_count++];
         if (g_strlcpy(route->prefix, value->text, sizeof(route->prefix)) >=
             sizeof(route->prefix)) {
-            SasReader_Complain(&loader->reader, value->line, "service", "once",
-                               "longer than %zu: \"%s\"",
-                               sizeof(route->prefix) - 1, value->text);
+            SasReader_AddProblem(&loader->reader, value->line, "service",
+                                 "once", "longer than %zu bytes: \"%s\"",
+                                 sizeof(route->prefix) - 1, value->text);
         }
     }
 }
@@ -219,9 +227,9 @@
     };
     static const struct sas_field fields[] = {
         {SasLoader_FIELD(service_row, name, NAME), .required = true},
-        {SasLoader_FIELD(service_row, deadline_ms, MS), .least = 1,
-         .most = SasLoader_MAX_DEADLINE_MS},
-        {SasLoader_FIELD(service_row, once, TREE)},
+        {SasLoader_FIELD(service_row, deadline_ms, MS), .min = 1,
+         .max = SasLoader_MAX_DEADLINE_MS},
+        {SasLoader_FIELD(service_row, once, ARRAY)},
     };
     struct sas_model *model = loader->model;
     const struct sas_toml *rows = SasLoader_GetRows(loader, "service");
@@ -239,8 +247,8 @@
         if (row.once != NULL) {
             load_once_routes(loader, service, row.once);
         }
-        SasLoader_ClaimName(loader, "service", service->name, table,
-                            "service");
+        SasLoader_CheckUniqueName(loader, "service", service->name, table,
+                                  "service");
     }
 }
 
@@ -259,17 +267,17 @@
     static const struct sas_field fields[] = {
         {SasLoader_FIELD(backend_row, name, NAME), .required = true},
         {SasLoader_FIELD(backend_row, service, REFERENCE), .required = true,
-         .find = SasModel_FindService, .what = "service"},
+         .find = SasModel_FindService, .refers_to = "service"},
         {SasLoader_FIELD(backend_row, failure_domain, REFERENCE),
          .required = true, .find = SasModel_FindDomain,
-         .what = "failure domain"},
+         .refers_to = "failure domain"},
         {SasLoader_FIELD(backend_row, ip, IP), .required = true},
         {SasLoader_FIELD(backend_row, port, INTEGER), .required = true,
-         .least = 1, .most = SasLoader_MAX_PORT},
+         .min = 1, .max = SasLoader_MAX_PORT},
         {SasLoader_FIELD(backend_row, slots, INTEGER), .required = true,
-         .least = 1, .most = MAX_SLOTS},
-        {SasLoader_FIELD(backend_row, connections, INTEGER), .least = 1,
-         .most = MAX_CONNECTIONS},
+         .min = 1, .max = MAX_SLOTS},
+        {SasLoader_FIELD(backend_row, connections, INTEGER), .min = 1,
+         .max = MAX_CONNECTIONS},
     };
     struct sas_model *model = loader->model;
     const struct sas_toml *rows = SasLoader_GetRows(loader, "backend_server");
@@ -277,8 +285,8 @@
     for (int i = 0; i < rows->child_count; i++) {
         const struct sas_toml *table = &rows->children[i];
         struct backend_row row = {
-            .service = get_sole(model->service_count),
-            .failure_domain = get_sole(model->domain_count),
+            .service = get_default_reference(model->service_count),
+            .failure_domain = get_default_reference(model->domain_count),
             .connections = DEFAULT_CONNECTIONS,
         };
         SasReader_ReadTable(&loader->reader, "backend_server", table, fields,
@@ -292,20 +300,21 @@
         backend->slots = row.slots;
         backend->connections = row.connections;
         if (row.connections < row.slots) {
-            SasReader_Complain(&loader->reader,
-                               SasLoader_GetLine(table, "connections"),
-                               "backend_server", "connections",
-                               "%d connections can't fill %d slots",
-                               row.connections, row.slots);
+            SasReader_AddProblem(&loader->reader,
+                                 SasLoader_GetLine(table, "connections"),
+                                 "backend_server", "connections",
+                                 "%d connections can't fill %d slots",
+                                 row.connections, row.slots);
         }
-        SasLoader_ClaimName(loader, "server", backend->name, table,
-                            "backend_server");
-        SasLoader_ClaimAddress(loader, &backend->address, table,
-                               "backend_server", "port");
+        SasLoader_CheckUniqueName(loader, "server", backend->name, table,
+                                  "backend_server");
+        SasLoader_CheckUniqueAddress(loader, &backend->address, table,
+                                     "backend_server", "port");
     }
 }
 
-/* "10.1.0.0/16" into a block; false when it is anything else. */
+/* Converts "10.1.0.0/16" to a block; false if it is not IPv4 in this form or
+ * has bits set after the prefix. */
 static bool
 parse_network(const char *text, struct sas_block *block)
 {
@@ -337,6 +346,7 @@
     return left->line - right->line;
 }
 
+/* Returns an unsorted array of struct block_row. */
 static GArray *
 read_blocks(struct sas_loader *loader)
 {
@@ -347,20 +357,20 @@
     static const struct sas_field fields[] = {
         {SasLoader_FIELD(network_row, network, TEXT), .required = true},
         {SasLoader_FIELD(network_row, home, REFERENCE), .required = true,
-         .find = SasModel_FindRegion, .what = "region"},
+         .find = SasModel_FindRegion, .refers_to = "region"},
     };
     const struct sas_toml *rows = SasLoader_GetRows(loader, "block");
     GArray *blocks = g_array_new(FALSE, FALSE, sizeof(struct block_row));
     for (int i = 0; i < rows->child_count; i++) {
         const struct sas_toml *table = &rows->children[i];
-        struct network_row row = {.home =
-                                      get_sole(loader->model->region_count)};
+        struct network_row row = {
+            .home = get_default_reference(loader->model->region_count)};
         SasReader_ReadTable(&loader->reader, "block", table, fields,
                             G_N_ELEMENTS(fields), &row);
         struct block_row block = {.line = table->line};
         block.block.home = row.home;
         if (row.network != NULL && !parse_network(row.network, &block.block)) {
-            SasReader_Complain(
+            SasReader_AddProblem(
                 &loader->reader, SasLoader_GetLine(table, "network"), "block",
                 "network", "not a network such as 10.1.0.0/16: \"%s\"",
                 row.network);
@@ -385,16 +395,18 @@
         const struct block_row *row =
             &g_array_index(rows, struct block_row, i);
         model->blocks[i] = row->block;
-        const struct sas_block *last = i == 0 ? NULL : &model->blocks[i - 1];
-        if (last != NULL && last->network == row->block.network &&
-            last->prefix_length == row->block.prefix_length) {
-            SasReader_Complain(&loader->reader, row->line, "block", "network",
-                               "the same network as another block");
+        const struct sas_block *previous =
+            i == 0 ? NULL : &model->blocks[i - 1];
+        if (previous != NULL && previous->network == row->block.network &&
+            previous->prefix_length == row->block.prefix_length) {
+            SasReader_AddProblem(&loader->reader, row->line, "block",
+                                 "network",
+                                 "the same network as another block");
         }
     }
 }
 
-/* Tables first that others refer to. */
+/* In the order of references: a table is loaded after those it refers to. */
 void
 SasLoader_LoadTables(struct sas_loader *loader)
 {
--- a/packages/settings/src/toml.h
+++ b/packages/settings/src/toml.h
@@ -1,7 +1,7 @@
 /* toml - a TOML document as a tree of plain C structs with line numbers.
  *
- * The parser is the C++ library toml++; Debian has none in C. Nothing of C++
- * is seen beyond toml.cpp: exceptions end there.
+ * The parser is the C++ library toml++, because Debian has none in C. toml.cpp
+ * hides it: no C++ types or exceptions leave that file.
  */
 #ifndef SAS_TOML_H
 #define SAS_TOML_H
@@ -19,14 +19,14 @@
     SasToml_INTEGER,
     SasToml_REAL,
     SasToml_BOOLEAN,
-    SasToml_TIME, /* any kind of date or time; its value is not kept */
+    SasToml_TIME, /* any date or time; its value is not converted */
     SasToml_ARRAY,
     SasToml_TABLE
 };
 
 struct sas_toml {
     enum sas_toml_type type;
-    int line;  /* of the key in a table, of the value elsewhere */
+    int line;  /* of the key for a scalar in a table, else of the value */
     char *key; /* NULL outside a table */
     char *text;
     int64_t integer;
@@ -36,13 +36,14 @@
     int child_count;
 };
 
-/* The document as a table. On a syntax error NULL, with the line and a reason
- * to be released with g_free. */
+/* Parses a document into a table, to be released with SasToml_Free. On a
+ * syntax error returns NULL and sets the line and a reason, to be released
+ * with g_free. */
 struct sas_toml *SasToml_Parse(const char *text, size_t size, int *line,
                                char **reason);
 void SasToml_Free(struct sas_toml *tree);
 
-/* The value of a key in a table, or NULL. */
+/* The value of a key in a table, or NULL if the key is absent. */
 const struct sas_toml *SasToml_Find(const struct sas_toml *table,
                                     const char *key);
 
--- a/packages/settings/tests/test_secret.c
+++ b/packages/settings/tests/test_secret.c
@@ -45,7 +45,7 @@
 }
 
 static void
-test_line_end_is_no_part_of_the_secret(void **state)
+test_line_end_is_stripped(void **state)
 {
     write_file(*state, "0123456789abcdef\n", 0640);
     char *secret = SasSecret_Load(*state, NULL);
@@ -54,7 +54,7 @@
 }
 
 static void
-test_unfit_files_are_refused(void **state)
+test_invalid_files_are_refused(void **state)
 {
     char *path = *state;
     assert_refused(path, SAS_EIO);
@@ -69,15 +69,15 @@
 }
 
 static void
-test_size_is_bounded(void **state)
+test_size_is_limited(void **state)
 {
-    g_autofree char *most = g_strnfill(SasSecret_MAX_SIZE, 'a');
-    write_file(*state, most, 0600);
+    g_autofree char *longest = g_strnfill(SasSecret_MAX_SIZE, 'a');
+    write_file(*state, longest, 0600);
     char *secret = SasSecret_Load(*state, NULL);
     assert_int_equal(strlen(secret), SasSecret_MAX_SIZE);
     SasSecret_Free(secret);
-    g_autofree char *more = g_strnfill(SasSecret_MAX_SIZE + 1, 'a');
-    write_file(*state, more, 0600);
+    g_autofree char *too_long = g_strnfill(SasSecret_MAX_SIZE + 1, 'a');
+    write_file(*state, too_long, 0600);
     assert_refused(*state, SAS_EINVAL);
 }
 
@@ -85,11 +85,11 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test_setup_teardown(test_line_end_is_no_part_of_the_secret,
-                                        setup, teardown),
-        cmocka_unit_test_setup_teardown(test_unfit_files_are_refused, setup,
+        cmocka_unit_test_setup_teardown(test_line_end_is_stripped, setup,
                                         teardown),
-        cmocka_unit_test_setup_teardown(test_size_is_bounded, setup, teardown),
+        cmocka_unit_test_setup_teardown(test_invalid_files_are_refused, setup,
+                                        teardown),
+        cmocka_unit_test_setup_teardown(test_size_is_limited, setup, teardown),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/settings/tests/test_settings.c
+++ b/packages/settings/tests/test_settings.c
@@ -13,7 +13,7 @@
 /* 2 December 2025, 12:00 UTC. */
 #define NOON_MS INT64_C(1764676800000)
 
-/* The least that a deployment needs. */
+/* The smallest valid settings. */
 static const char minimal[] = "[store]\n"
                               "embedded = true\n"
                               "[[entry_vm]]\n"
@@ -27,7 +27,7 @@
                               "port = 9000\n"
                               "slots = 2\n";
 
-/* Two regions; every test of an error changes a part of it. */
+/* Settings with two regions and most keys; assert_refused changes a part. */
 static const char full[] = "[deployment]\n"
                            "name = \"d\"\n"
                            "utc_offset = \"-03:30\"\n"
@@ -92,14 +92,14 @@
                            "[log]\n"
                            "level = \"debug\"\n";
 
-/* The text with its first occurrence of from replaced. */
+/* Returns the text with the first occurrence of from replaced by to. */
 static char *
 replace(const char *text, const char *from, const char *to)
 {
-    const char *place = strstr(text, from);
-    assert_non_null(place);
-    return g_strdup_printf("%.*s%s%s", (int)(place - text), text, to,
-                           place + strlen(from));
+    const char *match = strstr(text, from);
+    assert_non_null(match);
+    return g_strdup_printf("%.*s%s%s", (int)(match - text), text, to,
+                           match + strlen(from));
 }
 
 /* Replaces a part of the full text and expects this message. */
@@ -111,7 +111,7 @@
     struct sas_error error = {0};
     int result = SasSettings_LoadText(&settings, text, "f.toml", &error);
     if (result != -1 || error.code != SAS_EINVAL) {
-        fail_msg("loaded, though it should say: %s", message);
+        fail_msg("not refused with: %s", message);
     }
     assert_string_equal(error.text, message);
 }
@@ -189,7 +189,7 @@
 }
 
 static void
-test_shape_errors_name_their_place(void **state)
+test_unknown_keys_and_wrong_types_are_refused(void **state)
 {
     (void)state;
     assert_refused("utc_offset", "utc_ofset",
@@ -202,17 +202,18 @@
     assert_refused("[security]", "[[security]]",
                    "f.toml:59: security: must be one table, [security]");
     assert_refused("[[link]]", "[link]",
-                   "f.toml:18: link: must be tables, [[link]]");
+                   "f.toml:18: link: must be an array of tables, "
+                   "[[link]]");
     assert_refused("from = \"r1\"\n", "", "f.toml:18: link.from: missing");
     assert_refused("failure_domain = \"r1-a\"\n", "",
                    "f.toml:22: entry_vm.failure_domain: missing");
     assert_refused("once = [\"/certificates\"", "once = [\"certificates\"",
                    "f.toml:36: service.once: each must be a path that starts "
-                   "with /");
+                   "with / and has no ?, # or space");
 }
 
 static void
-test_syntax_errors_name_their_line(void **state)
+test_syntax_errors_report_their_line(void **state)
 {
     (void)state;
     struct sas_settings settings;
@@ -226,43 +227,43 @@
 }
 
 static void
-test_impossible_values_are_refused(void **state)
+test_invalid_values_are_refused(void **state)
 {
     (void)state;
     assert_refused("port = 9100", "port = 65536",
-                   "f.toml:7: store.port: 65536 is not within 1 and 65535");
+                   "f.toml:7: store.port: 65536 is not between 1 and 65535");
     assert_refused("peer_port = 81", "peer_port = 0",
-                   "f.toml:27: entry_vm.peer_port: 0 is not within 1 and "
+                   "f.toml:27: entry_vm.peer_port: 0 is not between 1 and "
                    "65535");
     assert_refused("slots = 3", "slots = 0",
-                   "f.toml:43: backend_server.slots: 0 is not within 1 and "
+                   "f.toml:43: backend_server.slots: 0 is not between 1 and "
                    "100000");
     assert_refused("connections = 340", "connections = -1",
-                   "f.toml:44: backend_server.connections: -1 is not within "
+                   "f.toml:44: backend_server.connections: -1 is not between "
                    "1 and 1000000");
     assert_refused("connections = 340", "connections = 2",
                    "f.toml:44: backend_server.connections: 2 connections "
                    "can't fill 3 slots");
     assert_refused("mbit_per_s = 4000", "mbit_per_s = 0",
-                   "f.toml:21: link.mbit_per_s: 0 is not within 0.001 and "
+                   "f.toml:21: link.mbit_per_s: 0 is not between 0.001 and "
                    "10000000");
-    assert_refused("retry_share = 0.2", "retry_share = nan",
-                   "f.toml:55: limits.retry_share: nan is not within 0 and 1");
+    assert_refused(
+        "retry_share = 0.2", "retry_share = nan",
+        "f.toml:55: limits.retry_share: nan is not between 0 and 1");
     assert_refused("deadline_ms = 2500", "deadline_ms = 300001",
-                   "f.toml:35: service.deadline_ms: 300001 is not within 1 "
+                   "f.toml:35: service.deadline_ms: 300001 is not between 1 "
                    "and 300000");
-    assert_refused("bodies_limit_mb = 16", "bodies_limit_mb = 7",
-                   "f.toml:53: limits.bodies_limit_mb: less than one body of "
-                   "body_limit_mb");
+    assert_refused(
+        "bodies_limit_mb = 16", "bodies_limit_mb = 7",
+        "f.toml:53: limits.bodies_limit_mb: less than body_limit_mb");
     assert_refused("stop_limit_ms = 2550", "stop_limit_ms = 2549",
                    "f.toml:57: limits.stop_limit_ms: less than "
-                   "drain_notice_ms and the longest deadline_ms together, "
-                   "2550");
+                   "drain_notice_ms plus the longest deadline_ms, 2550");
     assert_refused("\"10.0.0.9\"", "\"store.example\"",
-                   "f.toml:6: store.ip: not an IP number: \"store.example\"");
+                   "f.toml:6: store.ip: not an IP address: \"store.example\"");
     assert_refused("\"10.0.0.1\"", "\"0.0.0.0\"",
-                   "f.toml:25: entry_vm.ip: not the address of one machine: "
-                   "\"0.0.0.0\"");
+                   "f.toml:25: entry_vm.ip: unspecified or multicast "
+                   "address: \"0.0.0.0\"");
     assert_refused("\"-03:30\"", "\"-15:00\"",
                    "f.toml:3: deployment.utc_offset: not an offset such as "
                    "-05:00: \"-15:00\"");
@@ -278,7 +279,7 @@
 }
 
 static void
-test_references_to_nothing_are_refused(void **state)
+test_undefined_references_are_refused(void **state)
 {
     (void)state;
     assert_refused("default_home = \"r2\"", "default_home = \"r3\"",
@@ -340,23 +341,24 @@
 {
     (void)state;
     assert_refused("peer_key_file = \"peer.key\"\n", "",
-                   "f.toml:59: security.peer_key_file: missing; only on "
-                   "loopback can it be left out");
-    assert_refused("admin_token_file = \"/etc/token\"\n", "",
-                   "f.toml:59: security.admin_token_file: missing; only on "
-                   "loopback can it be left out");
+                   "f.toml:59: security.peer_key_file: missing; optional on "
+                   "loopback only");
+    assert_refused(
+        "admin_token_file = \"/etc/token\"\n", "",
+        "f.toml:59: security.admin_token_file: missing; optional on "
+        "loopback only");
     assert_refused("ip = \"10.0.0.9\"\nport = 9100", "",
                    "f.toml:5: store: needs ip and port, or embedded = true");
     assert_refused("ip = \"10.0.0.9\"\nport = 9100", "embedded = true",
-                   "f.toml:6: store.embedded: true works with one entry VM "
-                   "only, here are 2");
+                   "f.toml:6: store.embedded: true allows one entry VM "
+                   "only, found 2");
     assert_refused("port = 9100", "port = 9100\nembedded = true",
-                   "f.toml:8: store.embedded: true, but an ip or port is "
-                   "given too");
+                   "f.toml:8: store.embedded: can't be combined with ip "
+                   "or port");
 }
 
 static void
-test_tables_are_bounded(void **state)
+test_number_of_tables_is_limited(void **state)
 {
     (void)state;
     g_autoptr(GString) text = g_string_new(minimal);
@@ -367,7 +369,7 @@
     assert_null(strstr(fitting, "more than"));
     g_string_append(text, "[[region]]\nname = \"one-more\"\n");
     g_autofree char *list = SasSettings_ListProblems(text->str, "f");
-    assert_non_null(strstr(list, "f:45: region: more than 16\n"));
+    assert_non_null(strstr(list, "f:45: region: more than 16 tables\n"));
 }
 
 static void
@@ -379,7 +381,7 @@
     g_autofree char *list = SasSettings_ListProblems(text, "f");
     assert_string_equal(
         list, "f:4: entry_vm.name: must be a string, is an integer\n"
-              "f:12: backend_server.slots: 0 is not within 1 and 100000\n");
+              "f:12: backend_server.slots: 0 is not between 1 and 100000\n");
     assert_null(SasSettings_ListProblems(minimal, "f"));
     g_autofree char *empty = SasSettings_ListProblems("", "f");
     assert_non_null(strstr(empty, "f:1: entry_vm: at least one"));
@@ -394,13 +396,14 @@
     assert_int_equal(SasSettings_LoadText(&settings, full, "f", NULL), 0);
     assert_int_equal(SasSettings_FindVm(&settings, "v2", &error), 1);
     assert_int_equal(SasSettings_FindVm(&settings, "v3", &error), -1);
-    assert_string_equal(error.text,
-                        "no entry VM is named \"v3\"; there are: v1, v2");
+    assert_string_equal(
+        error.text,
+        "no entry VM is named \"v3\"; the settings define: v1, v2");
     SasSettings_Unload(&settings);
 }
 
 static void
-test_absent_file_is_an_io_error(void **state)
+test_missing_file_is_an_io_error(void **state)
 {
     (void)state;
     struct sas_settings settings;
@@ -439,7 +442,7 @@
 }
 
 static void
-test_examples_load_at_their_sizes(void **state)
+test_examples_have_expected_sizes(void **state)
 {
     (void)state;
     assert_example("hottes.toml", (const char *[]){"dossiers", "galerie"},
@@ -453,9 +456,9 @@
     SasSettings_Unload(&settings);
 }
 
-/* The sheet of an example must be taken by the settings beside it. */
+/* Checks an example sheet against the model of the settings next to it. */
 static void
-assert_sheet_fits(const char *settings_file, const char *sheet_file, int rows)
+assert_sheet_valid(const char *settings_file, const char *sheet_file, int rows)
 {
     g_autofree char *path = g_build_filename(SAS_EXAMPLES, sheet_file, NULL);
     g_autofree char *text = NULL;
@@ -482,11 +485,11 @@
 }
 
 static void
-test_example_sheets_fit_their_settings(void **state)
+test_example_sheets_match_their_settings(void **state)
 {
     (void)state;
-    assert_sheet_fits("hottes.toml", "hottes-morning.csv", 6);
-    assert_sheet_fits("qureshi.toml", "qureshi-morning.csv", 6);
+    assert_sheet_valid("hottes.toml", "hottes-morning.csv", 6);
+    assert_sheet_valid("qureshi.toml", "qureshi-morning.csv", 6);
 }
 
 int
@@ -495,18 +498,18 @@
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_minimal_file_has_defaults),
         cmocka_unit_test(test_every_key_is_read),
-        cmocka_unit_test(test_shape_errors_name_their_place),
-        cmocka_unit_test(test_syntax_errors_name_their_line),
-        cmocka_unit_test(test_impossible_values_are_refused),
-        cmocka_unit_test(test_references_to_nothing_are_refused),
+        cmocka_unit_test(test_unknown_keys_and_wrong_types_are_refused),
+        cmocka_unit_test(test_syntax_errors_report_their_line),
+        cmocka_unit_test(test_invalid_values_are_refused),
+        cmocka_unit_test(test_undefined_references_are_refused),
         cmocka_unit_test(test_duplicates_are_refused),
         cmocka_unit_test(test_unsafe_combinations_are_refused),
-        cmocka_unit_test(test_tables_are_bounded),
+        cmocka_unit_test(test_number_of_tables_is_limited),
         cmocka_unit_test(test_all_problems_are_listed_in_order),
         cmocka_unit_test(test_vm_is_found_by_name),
-        cmocka_unit_test(test_absent_file_is_an_io_error),
-        cmocka_unit_test(test_examples_load_at_their_sizes),
-        cmocka_unit_test(test_example_sheets_fit_their_settings),
+        cmocka_unit_test(test_missing_file_is_an_io_error),
+        cmocka_unit_test(test_examples_have_expected_sizes),
+        cmocka_unit_test(test_example_sheets_match_their_settings),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
