--- a/packages/store/src/http_store.c
+++ b/packages/store/src/http_store.c
@@ -1,5 +1,5 @@
-/* The platform's store over HTTP. A small pool of connections; calls wait
- * for a free one in a bounded queue. */
+/* The store over HTTP: a connection pool with a bounded queue of operations
+ * that wait for a free connection. */
 #include "sas/store.h"
 
 #include <glib.h>
@@ -9,19 +9,26 @@
 #include "sas/http.h"
 
 #define CONNECT_TIMEOUT_MS 500
-#define MAX_VALUE (32u * 1024 * 1024)
+
+/* Parts of an answer that exceed it are dropped; the result stays OK. */
+#define MAX_VALUE_BYTES (32u * 1024 * 1024)
+
+/* A write whose acknowledgement is lost has to be read back. So it takes a
+ * pooled connection only if that received data within this time, else a new
+ * one. */
+#define MAX_IDLE_FOR_WRITE_MS 1000
 
 struct http_store {
     struct sas_store base;       /* first: the vtable */
-    struct sas_http_owner owner; /* of all connections */
+    struct sas_http_owner owner; /* callbacks of all connections */
     uv_loop_t *loop;
     struct sas_address address;
-    GQueue idle; /* of struct sas_http_conn */
+    GQueue idle; /* of struct sas_http_conn, the last used first */
     int open_connections;
-    GQueue waiting; /* of struct operation */
-    GList *running; /* of struct operation */
-    uv_idle_t turn; /* delivers refusals on the loop's next turn */
-    GQueue refused; /* of struct operation */
+    GQueue queued;      /* of struct operation */
+    GList *in_flight;   /* of struct operation */
+    uv_idle_t deferred; /* fails the refused operations */
+    GQueue refused;     /* of struct operation; queue full or timed out */
     bool closing;
 };
 
@@ -31,15 +38,15 @@
     struct sas_store_call *call;
     struct sas_http_conn *conn;
     bool is_write;
-    bool on_old_connection;
+    bool on_reused_connection;
     bool retried;
     char *target;
     char *value;
     size_t size;
     char condition_name[16];
     char condition_value[SasStore_ETAG_SIZE];
-    int64_t queued_at;
-    int status;
+    int64_t queued_at; /* loop milliseconds */
+    int http_status;   /* 0 before the answer's head */
     char etag[SasStore_ETAG_SIZE];
     GString *body;
 };
@@ -77,7 +84,7 @@
         const struct sas_http_header *headers, int header_count)
 {
     struct operation *operation = (struct operation *)user;
-    operation->status = status;
+    operation->http_status = status;
     const char *etag = SasHttp_FindHeader(headers, header_count, "etag");
     snprintf(operation->etag, sizeof(operation->etag), "%s",
              etag != NULL ? etag : "");
@@ -87,7 +94,7 @@
 on_body(struct sas_http_user *user, const char *data, size_t size)
 {
     struct operation *operation = (struct operation *)user;
-    if (operation->body->len + size <= MAX_VALUE) {
+    if (operation->body->len + size <= MAX_VALUE_BYTES) {
         g_string_append_len(operation->body, data, (gssize)size);
     }
 }
@@ -97,24 +104,24 @@
 {
     struct operation *operation = (struct operation *)user;
     struct http_store *store = operation->store;
-    store->running = g_list_remove(store->running, operation);
+    store->in_flight = g_list_remove(store->in_flight, operation);
     if (reusable) {
         g_queue_push_head(&store->idle, operation->conn);
     }
     enum sas_store_status status = SAS_STORE_UNKNOWN;
-    if (whole && operation->status / 100 == 2) {
+    if (whole && operation->http_status / 100 == 2) {
         status = SAS_STORE_OK;
     }
-    else if (whole && operation->status == 404 && !operation->is_write) {
+    else if (whole && operation->http_status == 404 && !operation->is_write) {
         status = SAS_STORE_NOT_FOUND;
     }
-    else if (whole && operation->status == 412) {
+    else if (whole && operation->http_status == 412) {
         status = SAS_STORE_CONFLICT;
     }
     struct sas_error error = {.code = SAS_OK};
     if (status == SAS_STORE_UNKNOWN) {
         SasError_Set(&error, SAS_EIO, "store.answer", store->address.ip,
-                     "status %d", operation->status);
+                     "status %d", operation->http_status);
     }
     deliver(operation, status, &error);
     start_next(store);
@@ -125,18 +132,18 @@
 {
     struct operation *operation = (struct operation *)user;
     struct http_store *store = operation->store;
-    store->running = g_list_remove(store->running, operation);
-    /* A kept connection may have died while idle, or something between the
-     * ends may have lost track of it. A read harms nothing, so it goes once
-     * more, over a new connection; the old ones are all under suspicion. */
-    if (operation->on_old_connection && !operation->is_write &&
+    store->in_flight = g_list_remove(store->in_flight, operation);
+    /* The server or a middlebox may have dropped a pooled connection while it
+     * was idle. A read is idempotent, so it is retried once; the idle
+     * connections are closed before, as they may be dead, too. */
+    if (operation->on_reused_connection && !operation->is_write &&
         !operation->retried) {
         operation->retried = true;
         g_string_truncate(operation->body, 0);
         while (!g_queue_is_empty(&store->idle)) {
             SasHttp_Close(g_queue_peek_head(&store->idle));
         }
-        g_queue_push_head(&store->waiting, operation);
+        g_queue_push_head(&store->queued, operation);
         start_next(store);
         return;
     }
@@ -166,22 +173,21 @@
 static void
 start(struct http_store *store, struct operation *operation)
 {
-    /* A write whose acknowledgement is lost has to be read back, so it goes
-     * only over a connection that is new or has just been heard from. */
     struct sas_http_conn *conn = g_queue_pop_head(&store->idle);
     if (conn != NULL && operation->is_write &&
-        (int64_t)uv_now(store->loop) - SasHttp_GetLastReadAt(conn) > 1000) {
+        (int64_t)uv_now(store->loop) - SasHttp_GetLastReadAt(conn) >
+            MAX_IDLE_FOR_WRITE_MS) {
         SasHttp_Close(conn);
         conn = NULL;
     }
-    operation->on_old_connection = conn != NULL;
+    operation->on_reused_connection = conn != NULL;
     if (conn == NULL) {
         conn = SasHttp_Connect(store->loop, &store->address,
                                CONNECT_TIMEOUT_MS, &store->owner);
         store->open_connections++;
     }
     operation->conn = conn;
-    store->running = g_list_prepend(store->running, operation);
+    store->in_flight = g_list_prepend(store->in_flight, operation);
     struct sas_http_header header = {operation->condition_name,
                                      operation->condition_value};
     struct sas_http_request request = {
@@ -195,15 +201,18 @@
     SasHttp_Send(conn, &request, SasStore_TIMEOUT_MS, &operation->user);
 }
 
+/* Starts queued operations while the pool has connections. Those that timed
+ * out in the queue move to refused; only enqueue starts the handle that fails
+ * them. */
 static void
 start_next(struct http_store *store)
 {
-    while (!g_queue_is_empty(&store->waiting) && !store->closing) {
+    while (!g_queue_is_empty(&store->queued) && !store->closing) {
         if (g_queue_is_empty(&store->idle) &&
             store->open_connections >= SasStore_MAX_CONNECTIONS) {
             return;
         }
-        struct operation *operation = g_queue_pop_head(&store->waiting);
+        struct operation *operation = g_queue_pop_head(&store->queued);
         if ((int64_t)uv_now(store->loop) - operation->queued_at >
             SasStore_TIMEOUT_MS) {
             g_queue_push_tail(&store->refused, operation);
@@ -213,18 +222,19 @@
     }
 }
 
+/* Fails one refused operation per iteration of the loop. */
 static void
-on_turn(uv_idle_t *turn)
+on_deferred(uv_idle_t *handle)
 {
-    struct http_store *store = turn->data;
+    struct http_store *store = handle->data;
     struct operation *operation = g_queue_pop_head(&store->refused);
     if (operation == NULL) {
-        uv_idle_stop(turn);
+        uv_idle_stop(handle);
         return;
     }
     struct sas_error error;
     SasError_Set(&error, SAS_EUNAVAILABLE, "store.queue", store->address.ip,
-                 "too many calls wait for the store");
+                 "store queue is full or the call timed out in it");
     deliver(operation, SAS_STORE_UNAVAILABLE, &error);
 }
 
@@ -246,15 +256,15 @@
 static void
 enqueue(struct http_store *store, struct operation *operation)
 {
-    if (g_queue_get_length(&store->waiting) >= SasStore_MAX_WAITING) {
+    if (g_queue_get_length(&store->queued) >= SasStore_MAX_QUEUED) {
         g_queue_push_tail(&store->refused, operation);
     }
     else {
-        g_queue_push_tail(&store->waiting, operation);
+        g_queue_push_tail(&store->queued, operation);
         start_next(store);
     }
     if (!g_queue_is_empty(&store->refused)) {
-        uv_idle_start(&store->turn, on_turn);
+        uv_idle_start(&store->deferred, on_deferred);
     }
 }
 
@@ -298,7 +308,7 @@
 }
 
 static void
-on_turn_closed(uv_handle_t *handle)
+on_deferred_closed(uv_handle_t *handle)
 {
     struct http_store *store = handle->data;
     g_free(store);
@@ -310,13 +320,14 @@
     struct http_store *store = (struct http_store *)base;
     store->closing = true;
     struct operation *operation;
-    while (store->running != NULL) {
-        operation = store->running->data;
+    while (store->in_flight != NULL) {
+        operation = store->in_flight->data;
         SasHttp_Close(operation->conn);
-        store->running = g_list_delete_link(store->running, store->running);
+        store->in_flight =
+            g_list_delete_link(store->in_flight, store->in_flight);
         free_operation(operation);
     }
-    while ((operation = g_queue_pop_head(&store->waiting)) != NULL) {
+    while ((operation = g_queue_pop_head(&store->queued)) != NULL) {
         free_operation(operation);
     }
     while ((operation = g_queue_pop_head(&store->refused)) != NULL) {
@@ -325,7 +336,7 @@
     while (!g_queue_is_empty(&store->idle)) {
         SasHttp_Close(g_queue_peek_head(&store->idle));
     }
-    uv_close((uv_handle_t *)&store->turn, on_turn_closed);
+    uv_close((uv_handle_t *)&store->deferred, on_deferred_closed);
 }
 
 static const struct sas_store_vtable http_vtable = {
@@ -344,9 +355,9 @@
     store->loop = loop;
     store->address = *address;
     g_queue_init(&store->idle);
-    g_queue_init(&store->waiting);
+    g_queue_init(&store->queued);
     g_queue_init(&store->refused);
-    uv_idle_init(loop, &store->turn);
-    store->turn.data = store;
+    uv_idle_init(loop, &store->deferred);
+    store->deferred.data = store;
     return &store->base;
 }
--- a/packages/store/src/memory_store.c
+++ b/packages/store/src/memory_store.c
@@ -1,5 +1,5 @@
-/* The embedded store: a table of its own in this process's memory, for a
- * first try without a platform. Results come on the loop's next turn. */
+/* The embedded store: a table in the memory of the process, for trials without
+ * a platform. Results are delivered from the loop, one per iteration. */
 #include "sas/store.h"
 
 #include <glib.h>
@@ -10,18 +10,18 @@
 struct row {
     char *value;
     size_t size;
-    uint64_t version;
+    uint64_t version; /* the ETag, without quotes */
 };
 
 struct memory_store {
     struct sas_store base; /* first: the vtable */
     GHashTable *rows;      /* "t/KEY" or "o/KEY" -> struct row */
-    GQueue pending;        /* of struct answer */
-    uv_idle_t idle;
+    GQueue results;        /* of struct pending_result */
+    uv_idle_t deferred;    /* delivers the results */
     uint64_t next_version;
 };
 
-struct answer {
+struct pending_result {
     struct sas_store_call *call;
     struct sas_store_result result;
     char *value;
@@ -37,40 +37,40 @@
 }
 
 static void
-on_idle(uv_idle_t *idle)
+on_deferred(uv_idle_t *handle)
 {
-    struct memory_store *store = idle->data;
-    struct answer *answer = g_queue_pop_head(&store->pending);
-    if (answer == NULL) {
-        uv_idle_stop(idle);
+    struct memory_store *store = handle->data;
+    struct pending_result *pending = g_queue_pop_head(&store->results);
+    if (pending == NULL) {
+        uv_idle_stop(handle);
         return;
     }
-    answer->call->on_result(answer->call, &answer->result);
-    g_free(answer->value);
-    g_free(answer);
+    pending->call->on_result(pending->call, &pending->result);
+    g_free(pending->value);
+    g_free(pending);
 }
 
 static void
-answer_later(struct memory_store *store, struct sas_store_call *call,
+queue_result(struct memory_store *store, struct sas_store_call *call,
              enum sas_store_status status, const char *value, size_t size,
              uint64_t version)
 {
-    struct answer *answer = g_new0(struct answer, 1);
-    answer->call = call;
-    answer->value = g_malloc(size + 1);
-    memcpy(answer->value, value, size);
-    answer->value[size] = '\0';
-    snprintf(answer->etag, sizeof(answer->etag), "\"%" PRIu64 "\"", version);
-    answer->result.status = status;
-    answer->result.value = answer->value;
-    answer->result.size = size;
-    answer->result.etag = answer->etag;
-    g_queue_push_tail(&store->pending, answer);
-    uv_idle_start(&store->idle, on_idle);
+    struct pending_result *pending = g_new0(struct pending_result, 1);
+    pending->call = call;
+    pending->value = g_malloc(size + 1);
+    memcpy(pending->value, value, size);
+    pending->value[size] = '\0';
+    snprintf(pending->etag, sizeof(pending->etag), "\"%" PRIu64 "\"", version);
+    pending->result.status = status;
+    pending->result.value = pending->value;
+    pending->result.size = size;
+    pending->result.etag = pending->etag;
+    g_queue_push_tail(&store->results, pending);
+    uv_idle_start(&store->deferred, on_deferred);
 }
 
 static char *
-get_row_key(enum sas_store_space space, const char *key)
+create_row_key(enum sas_store_space space, const char *key)
 {
     return g_strdup_printf("%c/%s", space == SAS_STORE_TABLE ? 't' : 'o', key);
 }
@@ -80,13 +80,13 @@
             const char *key, struct sas_store_call *call)
 {
     struct memory_store *store = (struct memory_store *)base;
-    g_autofree char *row_key = get_row_key(space, key);
+    g_autofree char *row_key = create_row_key(space, key);
     struct row *row = g_hash_table_lookup(store->rows, row_key);
     if (row == NULL) {
-        answer_later(store, call, SAS_STORE_NOT_FOUND, "", 0, 0);
+        queue_result(store, call, SAS_STORE_NOT_FOUND, "", 0, 0);
         return;
     }
-    answer_later(store, call, SAS_STORE_OK, row->value, row->size,
+    queue_result(store, call, SAS_STORE_OK, row->value, row->size,
                  row->version);
 }
 
@@ -97,38 +97,40 @@
              struct sas_store_call *call)
 {
     struct memory_store *store = (struct memory_store *)base;
-    g_autofree char *row_key = get_row_key(space, key);
+    g_autofree char *row_key = create_row_key(space, key);
     struct row *row = g_hash_table_lookup(store->rows, row_key);
-    char current[SasStore_ETAG_SIZE] = "";
+    char current_etag[SasStore_ETAG_SIZE] = "";
     if (row != NULL) {
-        snprintf(current, sizeof(current), "\"%" PRIu64 "\"", row->version);
+        snprintf(current_etag, sizeof(current_etag), "\"%" PRIu64 "\"",
+                 row->version);
     }
-    bool holds = condition == SAS_STORE_ABSENT
-                     ? row == NULL
-                     : row != NULL && strcmp(current, etag) == 0;
-    if (!holds) {
-        answer_later(store, call, SAS_STORE_CONFLICT, "", 0, 0);
+    bool condition_holds =
+        condition == SAS_STORE_ABSENT
+            ? row == NULL
+            : row != NULL && strcmp(current_etag, etag) == 0;
+    if (!condition_holds) {
+        queue_result(store, call, SAS_STORE_CONFLICT, "", 0, 0);
         return;
     }
-    struct row *fresh = g_new0(struct row, 1);
-    fresh->value = g_malloc(size + 1);
-    memcpy(fresh->value, value, size);
-    fresh->value[size] = '\0';
-    fresh->size = size;
-    fresh->version = ++store->next_version;
-    g_hash_table_replace(store->rows, g_steal_pointer(&row_key), fresh);
-    answer_later(store, call, SAS_STORE_OK, "", 0, fresh->version);
+    struct row *new_row = g_new0(struct row, 1);
+    new_row->value = g_malloc(size + 1);
+    memcpy(new_row->value, value, size);
+    new_row->value[size] = '\0';
+    new_row->size = size;
+    new_row->version = ++store->next_version;
+    g_hash_table_replace(store->rows, g_steal_pointer(&row_key), new_row);
+    queue_result(store, call, SAS_STORE_OK, "", 0, new_row->version);
 }
 
 static void
 memory_read_vms(struct sas_store *base, struct sas_store_call *call)
 {
-    answer_later((struct memory_store *)base, call, SAS_STORE_OK,
+    queue_result((struct memory_store *)base, call, SAS_STORE_OK,
                  "{\"vms\":[]}", strlen("{\"vms\":[]}"), 1);
 }
 
 static void
-on_idle_closed(uv_handle_t *handle)
+on_deferred_closed(uv_handle_t *handle)
 {
     struct memory_store *store = handle->data;
     g_free(store);
@@ -138,13 +140,13 @@
 memory_close(struct sas_store *base)
 {
     struct memory_store *store = (struct memory_store *)base;
-    struct answer *answer;
-    while ((answer = g_queue_pop_head(&store->pending)) != NULL) {
-        g_free(answer->value);
-        g_free(answer);
+    struct pending_result *pending;
+    while ((pending = g_queue_pop_head(&store->results)) != NULL) {
+        g_free(pending->value);
+        g_free(pending);
     }
     g_hash_table_destroy(store->rows);
-    uv_close((uv_handle_t *)&store->idle, on_idle_closed);
+    uv_close((uv_handle_t *)&store->deferred, on_deferred_closed);
 }
 
 static const struct sas_store_vtable memory_vtable = {
@@ -161,8 +163,8 @@
     store->base.vtable = &memory_vtable;
     store->rows =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, free_row);
-    g_queue_init(&store->pending);
-    uv_idle_init(loop, &store->idle);
-    store->idle.data = store;
+    g_queue_init(&store->results);
+    uv_idle_init(loop, &store->deferred);
+    store->deferred.data = store;
     return &store->base;
 }
--- a/packages/store/tests/test_store.c
+++ b/packages/store/tests/test_store.c
@@ -17,7 +17,7 @@
 };
 
 static void
-keep_reply(struct sas_store_call *call, const struct sas_store_result *result)
+save_reply(struct sas_store_call *call, const struct sas_store_result *result)
 {
     struct reply *reply = (struct reply *)call;
     reply->count++;
@@ -31,7 +31,7 @@
 write_row(uv_loop_t *loop, struct sas_store *store, const char *value,
           enum sas_store_condition condition, const char *etag)
 {
-    struct reply reply = {.call.on_result = keep_reply, .loop = loop};
+    struct reply reply = {.call.on_result = save_reply, .loop = loop};
     SasStore_Write(store, SAS_STORE_TABLE, "config/head", value, strlen(value),
                    condition, etag, &reply.call);
     uv_run(loop, UV_RUN_DEFAULT);
@@ -40,7 +40,7 @@
 }
 
 static void
-test_memory_store_compares_before_it_sets(void **state)
+test_memory_store_checks_write_conditions(void **state)
 {
     (void)state;
     uv_loop_t loop;
@@ -58,7 +58,7 @@
     struct reply late =
         write_row(&loop, store, "three", SAS_STORE_MATCH, first.etag);
     assert_int_equal(late.status, SAS_STORE_CONFLICT);
-    struct reply read = {.call.on_result = keep_reply, .loop = &loop};
+    struct reply read = {.call.on_result = save_reply, .loop = &loop};
     SasStore_Read(store, SAS_STORE_TABLE, "config/head", &read.call);
     uv_run(&loop, UV_RUN_DEFAULT);
     assert_string_equal(read.value, "two");
@@ -69,25 +69,25 @@
 }
 
 static void
-test_store_that_nobody_answers_is_unavailable(void **state)
+test_refused_connection_is_unavailable(void **state)
 {
     (void)state;
     uv_loop_t loop;
     uv_loop_init(&loop);
-    /* A port that was free a moment ago, and that nobody listens on. */
-    uv_tcp_t probe;
+    /* The port is bound but not listening, so connections are refused. */
+    uv_tcp_t bound;
     struct sockaddr_in any;
     int size = sizeof(any);
     uv_ip4_addr("127.0.0.1", 0, &any);
-    uv_tcp_init(&loop, &probe);
-    uv_tcp_bind(&probe, (struct sockaddr *)&any, 0);
-    uv_tcp_getsockname(&probe, (struct sockaddr *)&any, &size);
+    uv_tcp_init(&loop, &bound);
+    uv_tcp_bind(&bound, (struct sockaddr *)&any, 0);
+    uv_tcp_getsockname(&bound, (struct sockaddr *)&any, &size);
     struct sas_address address = {"127.0.0.1", ntohs(any.sin_port)};
     struct sas_store *store = SasStore_OpenHttp(&loop, &address);
     struct reply reply = write_row(&loop, store, "x", SAS_STORE_ABSENT, NULL);
     assert_int_equal(reply.status, SAS_STORE_UNAVAILABLE);
     SasStore_Close(store);
-    uv_close((uv_handle_t *)&probe, NULL);
+    uv_close((uv_handle_t *)&bound, NULL);
     uv_run(&loop, UV_RUN_DEFAULT);
     assert_int_equal(uv_loop_close(&loop), 0);
 }
@@ -96,8 +96,8 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_memory_store_compares_before_it_sets),
-        cmocka_unit_test(test_store_that_nobody_answers_is_unavailable),
+        cmocka_unit_test(test_memory_store_checks_write_conditions),
+        cmocka_unit_test(test_refused_connection_is_unavailable),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
