--- a/packages/settings/src/loader.h
+++ b/packages/settings/src/loader.h
@@ -48,8 +48,8 @@
 
 /* Adds a problem if another line has used the same value of this kind, such as
  * a name, an address or a link. Values of different kinds may be equal.
- * CheckUniqueName and CheckUniqueAddress skip empty values: their problem, a
- * missing or invalid key, has been added before. */
+ * CheckUniqueName and CheckUniqueAddress skip an empty name or IP and port 0,
+ * whose keys are absent or invalid. */
 void SasLoader_CheckUnique(struct sas_loader *loader, const char *kind,
                            const char *value, int line, const char *section,
                            const char *key);
