--- a/packages/net/include/sas/http.h
+++ b/packages/net/include/sas/http.h
@@ -1,13 +1,11 @@
 /* http - an HTTP/1.1 client on libuv and http-parser.
  *
- * One struct sas_http_conn is one TCP connection and carries one request at
- * a time: the request owns it until its answer is read in full. Whatever
- * comes after a whole answer closes the connection, so that no byte of one
- * answer reaches the reader of another.
+ * A struct sas_http_conn is one TCP connection. It carries one request at a
+ * time, without pipelining. Bytes after the end of an answer close the
+ * connection, so that they can't be taken for a part of the next answer.
  *
- * An answer counts as whole only when its own framing says so (length or
- * last chunk). One that is framed by the close of the connection ends with
- * whole == false.
+ * An answer is whole only if its length or its last chunk shows it. A
+ * close-delimited answer (RFC 9112, 6.3) ends with whole == false.
  */
 #ifndef SAS_HTTP_H
 #define SAS_HTTP_H
@@ -22,45 +20,48 @@
 #include "sas/http_head.h"
 #include "sas/model.h"
 
-/* Sent bytes that the peer's kernel has not acknowledged for so long end the
- * connection: three retransmissions of a busy link fit into it. */
+/* TCP_USER_TIMEOUT: a connection fails when sent bytes stay unacknowledged for
+ * this time. Leaves time for three retransmissions on a busy link. */
 #define SasHttp_UNACKED_LIMIT_MS 1500
 
-/* For an answer that never stands still (pause_ms), from its first byte. */
+/* Limit for a whole answer from its first byte; only with pause_ms. */
 #define SasHttp_ANSWER_LIMIT_MS 10000
 
 struct sas_http_request {
     const char *method;
     const char *target;
-    const char *host; /* NULL: the peer's address */
+    const char *host; /* NULL: the peer's address and port */
     const struct sas_http_header *headers;
     int header_count;
-    const char *body; /* must stay until the request has ended */
+    const char *body; /* not copied; must stay valid until the request ends */
     size_t body_size;
-    /* 0: the timeout is for the whole answer. Else it is for its first byte,
-     * and from then on the answer may stand still for so long. */
+    /* 0: timeout_ms limits the time to the end of the answer. Else timeout_ms
+     * limits the time to its first byte, and pause_ms every time without new
+     * bytes after that. */
     int64_t pause_ms;
 };
 
-/* What is known when a request fails. */
+/* Why a request failed and how far it had come. */
 struct sas_http_failure {
     struct sas_error error;
-    bool sent;    /* at least one byte was handed to the kernel */
-    bool written; /* the whole request was */
-    bool begun;   /* at least one byte of the answer had come */
+    bool sent;    /* the write has begun: the peer may have got a part */
+    bool written; /* the write has ended, perhaps with an error */
+    bool begun;   /* at least one byte of the answer has come */
 };
 
 struct sas_http_conn;
 struct sas_http_user;
 
-/* The user of a connection's current request; embed it as first member. */
+/* Callbacks for the answer to a connection's current request. Either on_end or
+ * on_fail is the last one. Embed struct sas_http_user as first member. */
 struct sas_http_user_vtable {
     void (*on_head)(struct sas_http_user *user, int status,
                     const struct sas_http_header *headers, int header_count);
     void (*on_body)(struct sas_http_user *user, const char *data, size_t size);
-    /* The answer is over; the connection has no user any more. */
+    /* The answer has ended and the connection has no user any more. If it is
+     * reusable the next request may be sent from here, else it is closed. */
     void (*on_end)(struct sas_http_user *user, bool whole, bool reusable);
-    /* The connection closes itself after this. */
+    /* The connection is closed already. */
     void (*on_fail)(struct sas_http_user *user,
                     const struct sas_http_failure *failure);
 };
@@ -69,8 +70,8 @@
     const struct sas_http_user_vtable *vtable;
 };
 
-/* Who keeps the connection; told once when it begins to close, and before
- * that when it has been opened (on_opened may be NULL). */
+/* Callbacks for a connection's own events. on_opened: it is established; may
+ * be NULL. on_closed: it begins to close; called exactly once. */
 struct sas_http_owner {
     void (*on_opened)(struct sas_http_owner *owner,
                       struct sas_http_conn *conn);
@@ -78,46 +79,55 @@
                       struct sas_http_conn *conn);
 };
 
-/* Opening and closing.
- * Connect begins at once; a failure is reported to the current user.
- * Close ends the current request without telling its user. */
+/* Opens and closes a connection.
+ * Connect returns at once and never NULL; a failure to connect is reported by
+ * on_fail of the current request. owner may be NULL.
+ * Close drops the current request without a callback to its user; the memory
+ * is freed later by the loop. */
 struct sas_http_conn *SasHttp_Connect(uv_loop_t *loop,
                                       const struct sas_address *address,
                                       int64_t connect_timeout_ms,
                                       struct sas_http_owner *owner);
 void SasHttp_Close(struct sas_http_conn *conn);
 
-/* Sends a request; the connection must be idle or still connecting. */
+/* Sends a request; the connection must be idle or still connecting. timeout_ms
+ * (at least 1) counts from the start of the write. */
 void SasHttp_Send(struct sas_http_conn *conn,
                   const struct sas_http_request *request, int64_t timeout_ms,
                   struct sas_http_user *user);
 
-/* From within on_head: this answer belongs to another request. It is dropped
- * and the next one on the connection is waited for. */
+/* Call from on_head: this answer belongs to another request. Its body is
+ * discarded and on_head is called again for the next answer. */
 void SasHttp_SkipAnswer(struct sas_http_conn *conn);
 
-/* Stops and restarts reading, to hold back a fast sender. */
+/* Stops and restarts reading (backpressure on a fast sender). The timeout of
+ * the request keeps running. */
 void SasHttp_Pause(struct sas_http_conn *conn);
 void SasHttp_Resume(struct sas_http_conn *conn);
 
-/* State of a connection, times in loop milliseconds. IsIdle: a request may be
- * sent on it; the socket is asked whether its peer has closed it.
+/* State of a connection; times in milliseconds of the loop's clock.
+ * IsIdle: a request may be sent. False if the socket already holds unread
+ * bytes or a close of the peer.
  * HadStrayBytes: bytes came that belong to no request. */
 bool SasHttp_IsIdle(const struct sas_http_conn *conn);
 bool SasHttp_HadStrayBytes(const struct sas_http_conn *conn);
 int64_t SasHttp_GetOpenedAt(const struct sas_http_conn *conn);
 int64_t SasHttp_GetLastReadAt(const struct sas_http_conn *conn);
 
-/* A whole exchange on a loop of its own; blocks. On failure the code is
- * SAS_EUNAVAILABLE when nothing was sent, else SAS_ETIMEOUT or SAS_EIO. */
+/* The answer that SasHttp_Fetch returns. */
 struct sas_http_response {
     int status;
     struct sas_http_header *headers;
     int header_count;
-    char *body; /* ends with a NUL that is not counted */
+    char *body; /* NUL-terminated; body_size doesn't count the NUL */
     size_t body_size;
 };
 
+/* Sends one request on a connection and a loop of its own; blocks. Each of
+ * connecting and answering may take timeout_ms. Returns -1 on failure:
+ * SAS_EUNAVAILABLE if nothing was sent, else SAS_ETIMEOUT or SAS_EIO. On
+ * success free the response with FreeResponse. GetHeader: NULL when absent;
+ * names ignore case. */
 int SasHttp_Fetch(const struct sas_address *address,
                   const struct sas_http_request *request, int64_t timeout_ms,
                   struct sas_http_response *response, struct sas_error *error);
@@ -125,10 +135,10 @@
                               const char *name);
 void SasHttp_FreeResponse(struct sas_http_response *response);
 
-/* The usual reason phrase of a status. */
+/* The reason phrase of a status code (RFC 9110, 15). */
 const char *SasHttp_GetReason(int status);
 
-/* Fills in a socket address from a numeric one; -1 when it is not one. */
+/* Converts a numeric IPv4 or IPv6 address; -1 if it isn't one. */
 int SasHttp_GetSockaddr(const struct sas_address *address,
                         struct sockaddr_storage *out);
 
--- a/packages/net/include/sas/http_head.h
+++ b/packages/net/include/sas/http_head.h
@@ -1,8 +1,8 @@
 /* http_head - the header fields of one HTTP/1.1 message.
  *
- * http-parser hands out names and values in pieces; a struct sas_http_head
- * puts them together. Its table of fields is valid from SasHttpHead_Finish
- * until the head is reset or closed.
+ * http-parser passes names and values in pieces; a struct sas_http_head joins
+ * them. Its table of fields is valid from SasHttpHead_Finish until the head is
+ * reset or closed.
  */
 #ifndef SAS_HTTP_HEAD_H
 #define SAS_HTTP_HEAD_H
@@ -21,33 +21,34 @@
 };
 
 struct sas_http_head {
-    GString *text;   /* names and values, each ended by a NUL */
-    GArray *offsets; /* size_t, where each of them starts */
+    GString *text;   /* names and values in turn, each NUL-terminated */
+    GArray *offsets; /* size_t: start of each name and value in text */
     bool last_was_value;
     struct sas_http_header *fields;
     int count;
 };
 
-/* Start and end of a head; Reset makes it empty again. */
+/* Init allocates an empty head, Reset empties it, Close frees it. */
 void SasHttpHead_Init(struct sas_http_head *head);
 void SasHttpHead_Reset(struct sas_http_head *head);
 void SasHttpHead_Close(struct sas_http_head *head);
 
-/* A piece of a name or a value. -1: more than max_bytes or too many. */
+/* Appends a piece of a name or a value. -1: the names and values would exceed
+ * max_bytes, or there are more than SasHttp_MAX_HEADERS fields. */
 int SasHttpHead_AppendName(struct sas_http_head *head, const char *at,
                            size_t length, size_t max_bytes);
 int SasHttpHead_AppendValue(struct sas_http_head *head, const char *at,
                             size_t length, size_t max_bytes);
 
-/* Builds the table of fields. */
+/* Builds the table of fields; call it after the last piece. */
 void SasHttpHead_Finish(struct sas_http_head *head);
 
-/* The value of a header, NULL when absent; names ignore case. */
+/* The value of the first field of this name, or NULL; ignores case. */
 const char *SasHttp_FindHeader(const struct sas_http_header *headers,
                                int header_count, const char *name);
 
-/* True for fields that concern one connection only (RFC 9110, 7.6.1) and
- * for those that say how a body is framed. */
+/* True for hop-by-hop header fields (RFC 9110, 7.6.1) and for those that frame
+ * the body, Content-Length included: a proxy doesn't forward them. */
 bool SasHttp_IsHopHeader(const char *name);
 
 #endif
--- a/packages/net/include/sas/http_server.h
+++ b/packages/net/include/sas/http_server.h
@@ -1,20 +1,22 @@
 /* http_server - an HTTP/1.1 server on libuv and http-parser.
  *
- * Requests that a caller sends behind one another on a connection are handed
- * out as soon as each is whole, so that they run side by side; their answers
- * go out in the order of the requests. Reading goes on while requests run,
- * so a caller that leaves is seen at once.
+ * Pipelined requests are passed to the handler as soon as each is complete, so
+ * that they run concurrently; their answers are sent in the order of the
+ * requests. Reading continues while requests run, so that a caller that closes
+ * its connection is noticed at once.
  *
- * A request is given out with its whole body in memory. One exchange is one
- * request and its answer. It belongs to the handler from on_request until
- * SasHttpExchange_Reply or on_abandoned, whichever comes first; an abandoned
- * exchange may still be read during the callback and not after it.
+ * An exchange is one request, with its whole body in memory, and its answer.
+ * It belongs to the handler from on_request until SasHttpExchange_Reply or
+ * on_abandoned, whichever comes first; an abandoned exchange may be read
+ * during the callback and not after it.
  *
- * What is wrong with a request is answered here: 400, 408 for a head that
- * comes too slowly, 413, 431, and 503 while the bodies of all connections
- * exceed their limit.
+ * The server itself answers requests that it can't pass on, and closes their
+ * connection: 400 (malformed), 408 (the head took longer than header_ms), 413
+ * (body_bytes exceeded), 431 (header_bytes or SasHttp_MAX_HEADERS exceeded)
+ * and 503 with Retry-After: 1 (bodies_bytes exceeded).
  *
- * Times are milliseconds of the loop's clock.
+ * Times are milliseconds of the loop's clock. The idle and header timeouts are
+ * checked every 250 ms.
  */
 #ifndef SAS_HTTP_SERVER_H
 #define SAS_HTTP_SERVER_H
@@ -29,52 +31,57 @@
 #include "sas/http_head.h"
 #include "sas/model.h"
 
-/* Requests of one connection that are read ahead of the oldest answer;
- * further ones wait in the socket. */
+/* Reading from a connection pauses while it has this many exchanges; the rest
+ * of its bytes wait in the socket. Checked after each read of up to 64 kB, so
+ * short pipelined requests may exceed it. */
 #define SasHttpServer_MAX_PIPELINE 32
 
 struct sas_http_server;
 struct sas_http_exchange;
 
 struct sas_http_server_limits {
-    size_t header_bytes;
+    size_t header_bytes; /* of the target; also of all names and values */
     size_t body_bytes;   /* of one request */
-    size_t bodies_bytes; /* of all requests that are being held */
-    int64_t header_ms;   /* from the first byte of a request to its head */
-    int64_t idle_ms;     /* between two requests, and without progress of an
-                            answer that the caller reads; 0: for ever */
-    int connections;
+    size_t bodies_bytes; /* of all requests in memory */
+    int64_t header_ms;   /* from the first byte of a request to the end of its
+                            head */
+    int64_t idle_ms;     /* between two requests, or while the caller reads
+                            nothing of an answer; 0: no limit */
+    int connections;     /* further ones are closed at once */
 };
 
-/* Why a connection ends. */
+/* Why a connection closes. */
 enum sas_http_end {
-    SAS_HTTP_END_CALLER, /* the caller closed it, or it broke */
-    SAS_HTTP_END_ANSWER, /* with an answer that says so */
-    SAS_HTTP_END_IDLE,   /* no request for the idle limit */
-    SAS_HTTP_END_SERVER, /* the server is being closed */
+    SAS_HTTP_END_CALLER, /* closed or reset by the caller, or failed */
+    SAS_HTTP_END_ANSWER, /* after an answer with Connection: close */
+    SAS_HTTP_END_IDLE,   /* idle for idle_ms, or idle_ms of a drain */
+    SAS_HTTP_END_SERVER, /* by SasHttpServer_Close */
     SAS_HTTP_END_COUNT
 };
 
-/* What a connection that ends leaves undone. */
+/* What is unfinished when a connection closes. */
 struct sas_http_leftover {
     enum sas_http_end end;
-    int unanswered;      /* requests that the handler has */
-    size_t unsent_bytes; /* of answers that still wait to be written */
-    size_t unread_bytes; /* from the caller, in the socket, as far as looked;
-                            0 where the caller ended the connection */
-    int64_t idle_ms;     /* since the last byte was read or answer given */
+    int unanswered;      /* requests that the handler hasn't answered */
+    size_t unsent_bytes; /* of answers, in this process and in the kernel up
+                            to the caller's acknowledgement; 0 if the caller
+                            closed the connection */
+    size_t unread_bytes; /* in the socket, at most 1024 are counted; 0 with
+                            SAS_HTTP_END_CALLER */
+    int64_t idle_ms;     /* since bytes were read or an answer was sent */
 };
 
 /* Embed it as first member. */
 struct sas_http_handler {
     void (*on_request)(struct sas_http_handler *handler,
                        struct sas_http_exchange *exchange);
-    /* The connection has ended; NULL where the handler always replies at
-     * once. */
+    /* The connection closes before the answer. May be NULL if on_request
+     * always replies. */
     void (*on_abandoned)(struct sas_http_handler *handler,
                          struct sas_http_exchange *exchange,
                          enum sas_http_end end);
-    /* Called before on_abandoned; NULL: nobody asks. */
+    /* Once for each accepted connection, before its on_abandoned; may be
+     * NULL. */
     void (*on_closed)(struct sas_http_handler *handler,
                       const struct sas_http_leftover *leftover);
 };
@@ -90,36 +97,40 @@
     size_t body_size;
 };
 
-/* Opening and closing. Close lets open connections go without a word. */
+/* Opens and closes a server; Open returns NULL on failure. Close closes all
+ * connections at once, without answers to their requests. */
 struct sas_http_server *
 SasHttpServer_Open(uv_loop_t *loop, const struct sas_address *address,
                    const struct sas_http_server_limits *limits,
                    struct sas_http_handler *handler, struct sas_error *error);
 void SasHttpServer_Close(struct sas_http_server *server);
 
-/* The port, also where the kernel chose it. */
+/* The bound port, also if the address had port 0. */
 int SasHttpServer_GetPort(const struct sas_http_server *server);
 
-/* In force for requests that begin later. */
+/* Applies at once, also to open connections and to requests that are being
+ * read. */
 void SasHttpServer_SetLimits(struct sas_http_server *server,
                              const struct sas_http_server_limits *limits);
 
-/* From now on every answer that nothing waits behind when it is sent closes
- * its connection, and nothing is given out behind it. So does a connection
- * that has been idle for idle_ms. New connections are still accepted: callers
- * may hold an older look-up. */
+/* Begins a graceful shutdown of the connections. From now on an answer closes
+ * its connection unless a part of a further request has been read; bytes that
+ * come later are discarded. Connections that are idle for idle_ms (0: no
+ * limit) are closed. New ones are still accepted: callers may hold an older
+ * lookup. */
 void SasHttpServer_Drain(struct sas_http_server *server, int64_t idle_ms);
 
-/* Requests that have not been answered; open connections. */
+/* Exchanges: requests that are being read, unanswered, or whose answer waits
+ * for the answer to an earlier request. Connections: open ones. */
 int SasHttpServer_CountExchanges(const struct sas_http_server *server);
 int SasHttpServer_CountConnections(const struct sas_http_server *server);
 
-/* Connections on which something is still owed: a request that waits to be
- * read, is being read or has no answer, an answer whose last byte is not
- * written, an end that the caller has not seen. */
+/* Connections with unfinished work: a request that is in the socket, being
+ * read or unanswered, an answer that the caller hasn't acknowledged in full,
+ * or a close that the caller hasn't answered with its own. */
 int SasHttpServer_CountBusy(const struct sas_http_server *server);
 
-/* One request. */
+/* The request of an exchange; all pointers are valid as long as it is. */
 const char *SasHttpExchange_GetMethod(const struct sas_http_exchange *e);
 const char *SasHttpExchange_GetTarget(const struct sas_http_exchange *e);
 const struct sas_http_header *
@@ -128,19 +139,21 @@
                                        const char *name);
 const char *SasHttpExchange_GetBody(const struct sas_http_exchange *e,
                                     size_t *size);
-/* When its first byte was read. */
+/* When the first byte of the request was read. */
 int64_t SasHttpExchange_GetBeganAt(const struct sas_http_exchange *e);
 
-/* The handler's own pointer. */
+/* A pointer of the handler's own, initially NULL. */
 void SasHttpExchange_SetUser(struct sas_http_exchange *e, void *user);
 void *SasHttpExchange_GetUser(const struct sas_http_exchange *e);
 
-/* Answers; the exchange is the server's again. */
+/* Answers the request; the handler must not use the exchange afterwards.
+ * Content-Length is added, except with status 204 and 304; an answer to HEAD
+ * is sent without the body. */
 void SasHttpExchange_Reply(struct sas_http_exchange *e,
                            const struct sas_http_reply *reply);
 
-/* The same for a short text of a media type; more is one header besides, or
- * NULL. */
+/* Answers with a NUL-terminated text of a media type; more is an additional
+ * header or NULL. */
 void SasHttpExchange_ReplyText(struct sas_http_exchange *e, int status,
                                const char *type, const char *text,
                                const struct sas_http_header *more);
--- a/packages/net/src/http_head.c
+++ b/packages/net/src/http_head.c
@@ -3,7 +3,7 @@
 #include <string.h>
 #include <strings.h>
 
-static const char *const hop_headers[] = {
+static const char *const hop_by_hop_headers[] = {
     "connection",
     "keep-alive",
     "proxy-connection",
@@ -109,8 +109,8 @@
 bool
 SasHttp_IsHopHeader(const char *name)
 {
-    for (size_t i = 0; i < G_N_ELEMENTS(hop_headers); i++) {
-        if (strcasecmp(name, hop_headers[i]) == 0) {
+    for (size_t i = 0; i < G_N_ELEMENTS(hop_by_hop_headers); i++) {
+        if (strcasecmp(name, hop_by_hop_headers[i]) == 0) {
             return true;
         }
     }
