--- a/packages/net/src/http_connection.c
+++ b/packages/net/src/http_connection.c
@@ -5,11 +5,11 @@
 #include <sys/socket.h>
 
 #define READ_BUFFER_SIZE 65536
-#define UNREAD_SAMPLE 1024 /* bytes; more are not counted */
+#define MAX_UNREAD_COUNT 1024 /* bytes */
 
-/* A caller that has the closing answer ends the connection within a round
- * trip. */
-#define SETTLE_MS 500
+/* A caller that has received the closing answer closes the connection within
+ * a round trip. */
+#define LINGER_MS 500
 
 struct write {
     uv_write_t request;
@@ -21,7 +21,7 @@
 static _Thread_local char read_buffer[READ_BUFFER_SIZE];
 
 static const http_parser_settings *get_parser_settings(void);
-static void refuse_reading(struct sas_http_connection *c, int status);
+static void refuse_request(struct sas_http_connection *c, int status);
 static void on_alloc(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer);
 static void on_read(uv_stream_t *stream, ssize_t count, const uv_buf_t *data);
 
@@ -31,15 +31,16 @@
 on_shutdown(uv_shutdown_t *request, int status)
 {
     (void)request;
-    (void)status; /* the read side reports the end of the connection */
+    (void)status; /* on_read reports the end of the connection */
 }
 
-/* Ends the sending side alone, and reads away what still comes: a close with
- * unread bytes is a reset, which may overtake the answer. */
+/* Lingering close: shuts down the sending side only and discards what still
+ * arrives. A close with unread bytes would send a reset, which may overtake
+ * the answer. */
 static void
-settle(struct sas_http_connection *c)
+linger(struct sas_http_connection *c)
 {
-    c->state = CONNECTION_SETTLING;
+    c->state = CONNECTION_LINGERING;
     c->active_at = (int64_t)uv_now(c->server->loop);
     if (uv_shutdown(&c->shutdown, (uv_stream_t *)&c->tcp, on_shutdown) != 0) {
         SasHttpConnection_Close(c, SAS_HTTP_END_ANSWER);
@@ -55,7 +56,7 @@
         SasHttpConnection_Close(c, SAS_HTTP_END_CALLER);
     }
     else if (write->close_after && c->state != CONNECTION_CLOSED) {
-        settle(c);
+        linger(c);
     }
     g_string_free(write->bytes, TRUE);
     g_free(write);
@@ -71,11 +72,11 @@
     }
 }
 
-/* While the process is being stopped a connection ends with its last answer.
- * One that others wait behind stays open: what is behind a closing answer
- * counts as not read and would be sent once more. */
+/* While draining, the answer to the last request closes the connection. If
+ * further requests follow, it stays open: callers take requests after a
+ * closing answer as not processed and would retry them while they run. */
 static bool
-is_last_answer(const struct sas_http_exchange *e)
+is_closing_answer(const struct sas_http_exchange *e)
 {
     const struct sas_http_connection *c = e->connection;
     return !e->keep_alive ||
@@ -83,38 +84,38 @@
 }
 
 static void
-append_answer(GString *bytes, const struct sas_http_exchange *e, bool last)
+append_answer(GString *bytes, const struct sas_http_exchange *e, bool closing)
 {
-    g_string_append_len(bytes, e->answer->str, (gssize)e->fields_at);
-    if (last) {
+    g_string_append_len(bytes, e->answer->str, (gssize)e->headers_offset);
+    if (closing) {
         g_string_append(bytes, "Connection: close\r\n");
     }
-    g_string_append_len(bytes, e->answer->str + e->fields_at,
-                        (gssize)(e->answer->len - e->fields_at));
+    g_string_append_len(bytes, e->answer->str + e->headers_offset,
+                        (gssize)(e->answer->len - e->headers_offset));
 }
 
 static bool
-is_answer_due(const struct sas_http_connection *c)
+is_answer_ready(const struct sas_http_connection *c)
 {
-    return c->state < CONNECTION_ENDING && !c->parsing && c->first != NULL &&
-           c->first->answer != NULL;
+    return c->state < CONNECTION_LAST_ANSWER && !c->parsing &&
+           c->first != NULL && c->first->answer != NULL;
 }
 
 void
 SasHttpConnection_Flush(struct sas_http_connection *c)
 {
-    if (!is_answer_due(c)) {
+    if (!is_answer_ready(c)) {
         return;
     }
     struct write *write = g_new0(struct write, 1);
     write->connection = c;
     write->bytes = g_string_new(NULL);
-    while (is_answer_due(c)) {
-        bool last = is_last_answer(c->first);
-        append_answer(write->bytes, c->first, last);
+    while (is_answer_ready(c)) {
+        bool closing = is_closing_answer(c->first);
+        append_answer(write->bytes, c->first, closing);
         SasHttpExchange_FreeFirst(c);
-        if (last) {
-            c->state = CONNECTION_ENDING;
+        if (closing) {
+            c->state = CONNECTION_LAST_ANSWER;
             write->close_after = true;
         }
     }
@@ -142,28 +143,29 @@
 static bool
 is_unanswered(const struct sas_http_exchange *e)
 {
-    return e->given && e->answer == NULL;
+    return e->dispatched && e->answer == NULL;
 }
 
-/* Bytes of answers that the caller has not got, in this process or the
- * kernel. */
+/* Bytes of answers that wait in libuv, or in the kernel for the caller's
+ * acknowledgement. */
 static size_t
 count_unsent(const struct sas_http_connection *c)
 {
     uv_os_fd_t fd;
-    int held = 0;
+    int unacked = 0;
     if (uv_fileno((const uv_handle_t *)&c->tcp, &fd) != 0 ||
-        ioctl(fd, SIOCOUTQ, &held) != 0 || held < 0) {
-        held = 0;
+        ioctl(fd, SIOCOUTQ, &unacked) != 0 || unacked < 0) {
+        unacked = 0;
     }
     return uv_stream_get_write_queue_size((const uv_stream_t *)&c->tcp) +
-           (size_t)held;
+           (size_t)unacked;
 }
 
+/* Bytes that wait in the socket, at most MAX_UNREAD_COUNT. */
 static size_t
 count_unread(const struct sas_http_connection *c)
 {
-    char bytes[UNREAD_SAMPLE];
+    char bytes[MAX_UNREAD_COUNT];
     uv_os_fd_t fd;
     if (uv_fileno((const uv_handle_t *)&c->tcp, &fd) != 0) {
         return 0;
@@ -173,7 +175,7 @@
 }
 
 static void
-tell_leftover(const struct sas_http_connection *c, enum sas_http_end end)
+report_close(const struct sas_http_connection *c, enum sas_http_end end)
 {
     struct sas_http_handler *handler = c->server->handler;
     if (handler->on_closed == NULL) {
@@ -181,7 +183,7 @@
     }
     struct sas_http_leftover leftover = {
         .end = end,
-        .unsent_bytes = c->caller_done ? 0 : count_unsent(c),
+        .unsent_bytes = c->caller_closed ? 0 : count_unsent(c),
         .unread_bytes = end == SAS_HTTP_END_CALLER ? 0 : count_unread(c),
         .idle_ms = (int64_t)uv_now(c->server->loop) - c->active_at,
     };
@@ -191,7 +193,7 @@
     handler->on_closed(handler, &leftover);
 }
 
-/* Tells the handler of every request that it still has. */
+/* Frees all exchanges; reports those that the handler hasn't answered. */
 static void
 abandon_exchanges(struct sas_http_connection *c, enum sas_http_end end)
 {
@@ -223,7 +225,7 @@
         c->next->previous = c->previous;
     }
     server->connection_count--;
-    tell_leftover(c, end);
+    report_close(c, end);
     abandon_exchanges(c, end);
     uv_close((uv_handle_t *)&c->tcp, on_connection_closed);
 }
@@ -261,43 +263,44 @@
            count_unsent(c) > 0 || count_unread(c) > 0;
 }
 
-/* How long it may rest. 0: for ever. */
+/* The idle timeout of the current state; 0: no limit. */
 static int64_t
-get_rest_limit(const struct sas_http_connection *c)
+get_idle_limit(const struct sas_http_connection *c)
 {
     const struct sas_http_server *server = c->server;
-    bool settling = c->state == CONNECTION_SETTLING;
-    bool drained = server->draining && c->state == CONNECTION_OPEN;
-    if ((!settling && !drained) || count_unsent(c) > 0) {
+    bool lingering = c->state == CONNECTION_LINGERING;
+    bool draining = server->draining && c->state == CONNECTION_OPEN;
+    if ((!lingering && !draining) || count_unsent(c) > 0) {
         return server->limits.idle_ms;
     }
-    return settling ? SETTLE_MS : server->drain_idle_ms;
+    return lingering ? LINGER_MS : server->drain_idle_ms;
 }
 
 static bool
 is_idle(const struct sas_http_connection *c, int64_t now_ms)
 {
-    int64_t limit_ms = get_rest_limit(c);
+    int64_t limit_ms = get_idle_limit(c);
     return c->first == NULL && limit_ms > 0 &&
            now_ms - c->active_at > limit_ms;
 }
 
 static bool
-is_head_late(const struct sas_http_connection *c, int64_t now_ms)
+has_head_timed_out(const struct sas_http_connection *c, int64_t now_ms)
 {
     return c->reading != NULL && c->reading->method == NULL && !c->paused &&
            now_ms - c->head_since > c->server->limits.header_ms;
 }
 
-/* A caller that reads slowly is not idle as long as it reads. */
+/* True if the number of unsent bytes has changed since the last call: a caller
+ * that reads slowly is not idle. */
 static bool
-has_progressed(struct sas_http_connection *c, int64_t now_ms)
+update_send_progress(struct sas_http_connection *c, int64_t now_ms)
 {
     size_t unsent = count_unsent(c);
-    if (unsent == c->unsent_seen) {
+    if (unsent == c->last_unsent) {
         return false;
     }
-    c->unsent_seen = unsent;
+    c->last_unsent = unsent;
     c->active_at = now_ms;
     return true;
 }
@@ -305,18 +308,18 @@
 void
 SasHttpConnection_Sweep(struct sas_http_connection *c, int64_t now_ms)
 {
-    bool head_late = is_head_late(c, now_ms);
-    if (!head_late && !is_idle(c, now_ms)) {
+    bool head_timed_out = has_head_timed_out(c, now_ms);
+    if (!head_timed_out && !is_idle(c, now_ms)) {
         return;
     }
-    if (count_unread(c) > 0 || has_progressed(c, now_ms)) {
+    if (count_unread(c) > 0 || update_send_progress(c, now_ms)) {
         return;
     }
-    if (head_late) {
-        refuse_reading(c, 408);
+    if (head_timed_out) {
+        refuse_request(c, 408);
         return;
     }
-    SasHttpConnection_Close(c, c->state == CONNECTION_SETTLING
+    SasHttpConnection_Close(c, c->state == CONNECTION_LINGERING
                                    ? SAS_HTTP_END_ANSWER
                                    : SAS_HTTP_END_IDLE);
 }
@@ -331,17 +334,17 @@
     *buffer = uv_buf_init(read_buffer, sizeof(read_buffer));
 }
 
-/* The request that is being read can't be served; what follows it on the
- * connection can't be told apart, so the connection ends with the answer. */
+/* Answers the request that is being read with an error. The start of the next
+ * request is unknown then, so the answer closes the connection. */
 static void
-refuse_reading(struct sas_http_connection *c, int status)
+refuse_request(struct sas_http_connection *c, int status)
 {
     if (c->reading == NULL) {
         c->reading = SasHttpExchange_New(c);
     }
     struct sas_http_exchange *e = c->reading;
     c->reading = NULL;
-    c->state = CONNECTION_LAST;
+    c->state = CONNECTION_LAST_REQUEST;
     if (e->method == NULL) {
         e->method = g_strdup("GET");
     }
@@ -366,7 +369,7 @@
     if (c->state == CONNECTION_OPEN &&
         (HTTP_PARSER_ERRNO(&c->parser) != HPE_OK || c->parser.upgrade ||
          used != size)) {
-        refuse_reading(c, c->refused != 0 ? c->refused : 400);
+        refuse_request(c, c->error_status != 0 ? c->error_status : 400);
     }
     SasHttpConnection_Flush(c);
 }
@@ -379,14 +382,14 @@
         return;
     }
     if (count < 0) {
-        c->caller_done = count == UV_EOF;
-        SasHttpConnection_Close(c, c->state == CONNECTION_SETTLING
+        c->caller_closed = count == UV_EOF;
+        SasHttpConnection_Close(c, c->state == CONNECTION_LINGERING
                                        ? SAS_HTTP_END_ANSWER
                                        : SAS_HTTP_END_CALLER);
         return;
     }
     if (c->state != CONNECTION_OPEN) {
-        return; /* behind the last request: not read */
+        return; /* after the last request: discarded */
     }
     c->active_at = (int64_t)uv_now(stream->loop);
     parse(c, data->base, (size_t)count);
@@ -405,7 +408,7 @@
     struct sas_http_connection *c = parser->data;
     c->reading = SasHttpExchange_New(c);
     c->head_since = c->reading->began_at;
-    c->refused = 0;
+    c->error_status = 0;
     return 0;
 }
 
@@ -414,19 +417,19 @@
 {
     struct sas_http_connection *c = parser->data;
     if (c->reading->target->len + length > c->server->limits.header_bytes) {
-        c->refused = 431;
+        c->error_status = 431;
         return -1;
     }
     g_string_append_len(c->reading->target, at, (gssize)length);
     return 0;
 }
 
-/* -1, and the refusal that goes with it, when the head has grown too long. */
+/* Sets status 431 if the head has become too long; returns appended. */
 static int
 check_head(struct sas_http_connection *c, int appended)
 {
     if (appended != 0) {
-        c->refused = 431;
+        c->error_status = 431;
     }
     return appended;
 }
@@ -465,7 +468,7 @@
     e->keep_alive = http_should_keep_alive(parser);
     if (parser->flags & F_CONTENTLENGTH &&
         parser->content_length > c->server->limits.body_bytes) {
-        c->refused = 413;
+        c->error_status = 413;
         return -1;
     }
     if (parser->flags & F_CONTENTLENGTH && parser->content_length > 0) {
@@ -474,10 +477,11 @@
     }
     const char *expect = SasHttpExchange_FindHeader(e, "Expect");
     if (expect != NULL) {
-        /* Only where nothing is owed before it on the connection. */
+        /* Not while the answer to an earlier request is pending. */
         if (c->first == e) {
-            static const char go_on[] = "HTTP/1.1 100 Continue\r\n\r\n";
-            uv_buf_t buffer = uv_buf_init((char *)go_on, sizeof(go_on) - 1);
+            static const char interim[] = "HTTP/1.1 100 Continue\r\n\r\n";
+            uv_buf_t buffer =
+                uv_buf_init((char *)interim, sizeof(interim) - 1);
             uv_try_write((uv_stream_t *)&c->tcp, &buffer, 1);
         }
     }
@@ -491,14 +495,14 @@
     struct sas_http_server *server = c->server;
     GString *body = c->reading->body;
     if (body->len + length > server->limits.body_bytes) {
-        c->refused = 413;
+        c->error_status = 413;
         return -1;
     }
-    if (server->held_bytes + length > server->limits.bodies_bytes) {
-        c->refused = 503;
+    if (server->body_bytes + length > server->limits.bodies_bytes) {
+        c->error_status = 503;
         return -1;
     }
-    server->held_bytes += length;
+    server->body_bytes += length;
     g_string_append_len(body, at, (gssize)length);
     return 0;
 }
@@ -509,13 +513,13 @@
     struct sas_http_connection *c = parser->data;
     struct sas_http_exchange *e = c->reading;
     c->reading = NULL;
-    e->given = true;
+    e->dispatched = true;
     if (!e->keep_alive) {
-        c->state = CONNECTION_LAST;
+        c->state = CONNECTION_LAST_REQUEST;
     }
     c->server->handler->on_request(c->server->handler, e);
     if (c->state != CONNECTION_OPEN) {
-        http_parser_pause(parser, 1); /* what follows is not read */
+        http_parser_pause(parser, 1); /* later bytes are discarded */
     }
     return 0;
 }
--- a/packages/net/src/http_connection.h
+++ b/packages/net/src/http_connection.h
@@ -1,6 +1,6 @@
-/* http_connection - one caller's connection to an HTTP server: its requests in
- * order, what is read and what is written. For http_server.c, http_exchange.c
- * and http_connection.c alone.
+/* http_connection - one caller's connection to an HTTP server: its exchanges
+ * in order, reading and writing. Private to http_server.c, http_exchange.c and
+ * http_connection.c.
  */
 #ifndef SAS_HTTP_CONNECTION_H
 #define SAS_HTTP_CONNECTION_H
@@ -11,10 +11,11 @@
 #include "sas/http_server.h"
 
 enum connection_state {
-    CONNECTION_OPEN,     /* requests are read and given out */
-    CONNECTION_LAST,     /* its last request has been read */
-    CONNECTION_ENDING,   /* the answer that closes it is being sent */
-    CONNECTION_SETTLING, /* it has been sent; the caller's end is awaited */
+    CONNECTION_OPEN,         /* requests are read and dispatched */
+    CONNECTION_LAST_REQUEST, /* no more requests are read */
+    CONNECTION_LAST_ANSWER,  /* the closing answer is being sent */
+    CONNECTION_LINGERING,    /* it is sent; input is discarded until the caller
+                                closes or a timeout (LINGER_MS) expires */
     CONNECTION_CLOSED
 };
 
@@ -27,9 +28,9 @@
     GString *body;
     int64_t began_at;
     bool keep_alive;
-    bool given; /* the handler has it */
+    bool dispatched; /* complete and passed to the handler */
     GString *answer;
-    size_t fields_at; /* in the answer, behind its status line */
+    size_t headers_offset; /* in the answer, after its status line */
     void *user;
 };
 
@@ -39,19 +40,19 @@
     struct sas_http_connection *previous;
     struct sas_http_connection *next;
     http_parser parser;
-    struct sas_http_exchange *first; /* oldest request without an answer */
+    struct sas_http_exchange *first; /* oldest whose answer isn't sent */
     struct sas_http_exchange *last;
-    struct sas_http_exchange *reading; /* the one whose bytes come in */
-    int64_t head_since; /* its head comes in, or comes in again */
-    int pending;
+    struct sas_http_exchange *reading; /* the one being received, or NULL */
+    int64_t head_since; /* its head began to arrive, or reading resumed */
+    int pending;        /* exchanges from first to last */
     int64_t active_at;
-    size_t unsent_seen; /* when it last had rested for its limit */
+    size_t last_unsent; /* unsent bytes at the last check of send progress */
     enum connection_state state;
     uv_shutdown_t shutdown;
-    bool caller_done; /* it has ended its side; acknowledgements may lag */
-    bool parsing;     /* a buffer: its answers go out when all of it is read */
-    bool paused;
-    int refused; /* status for the request that could not be read, or 0 */
+    bool caller_closed; /* end of stream; acknowledgements may be missing */
+    bool parsing;     /* a buffer is being parsed; answers wait for its end */
+    bool paused;      /* reading, as too many exchanges are pending */
+    int error_status; /* for the request that can't be read, or 0 */
 };
 
 struct sas_http_server {
@@ -63,31 +64,30 @@
     struct sas_http_connection *connections;
     int connection_count;
     int exchange_count;
-    size_t held_bytes;
+    size_t body_bytes; /* request bodies in memory */
     bool draining;
     bool closed;
     int64_t drain_idle_ms;
     int open_handles;
 };
 
-/* Takes a connection that waits at the listener. */
+/* Accepts a connection from the listener's queue. */
 void SasHttpConnection_Accept(struct sas_http_server *server);
 
-/* Ends what has been idle for too long or sends its head too slowly. */
+/* Enforces the idle and header timeouts; called periodically. */
 void SasHttpConnection_Sweep(struct sas_http_connection *c, int64_t now_ms);
 
-/* Whether something is still owed on it. */
+/* True if work on it is unfinished, see SasHttpServer_CountBusy. */
 bool SasHttpConnection_IsBusy(const struct sas_http_connection *c);
 
-/* Sends the answers that are next in order. */
+/* Sends the answers that no unanswered exchange precedes. */
 void SasHttpConnection_Flush(struct sas_http_connection *c);
 
-/* Ends the connection at once, with all that is on it. */
+/* Closes the connection at once and abandons its exchanges. */
 void SasHttpConnection_Close(struct sas_http_connection *c,
                              enum sas_http_end end);
 
-/* Exchanges of a connection: a new one behind the others, and the end of the
- * oldest. */
+/* Appends a new exchange to a connection; frees the oldest one. */
 struct sas_http_exchange *SasHttpExchange_New(struct sas_http_connection *c);
 void SasHttpExchange_FreeFirst(struct sas_http_connection *c);
 
--- a/packages/net/src/http_exchange.c
+++ b/packages/net/src/http_exchange.c
@@ -4,7 +4,7 @@
 #include "http_connection.h"
 #include "sas/http.h"
 
-/* One request. */
+/* The request. */
 
 const char *
 SasHttpExchange_GetMethod(const struct sas_http_exchange *e)
@@ -62,7 +62,7 @@
     GString *text = g_string_sized_new(512 + reply->body_size);
     g_string_append_printf(text, "HTTP/1.1 %d %s\r\n", reply->status,
                            SasHttp_GetReason(reply->status));
-    e->fields_at = text->len;
+    e->headers_offset = text->len;
     for (int i = 0; i < reply->header_count; i++) {
         g_string_append(text, reply->headers[i].name);
         g_string_append(text, ": ");
@@ -107,7 +107,7 @@
     SasHttpExchange_Reply(e, &reply);
 }
 
-/* Their place on the connection. */
+/* The queue of a connection. */
 
 struct sas_http_exchange *
 SasHttpExchange_New(struct sas_http_connection *c)
@@ -143,7 +143,7 @@
     }
     c->pending--;
     c->server->exchange_count--;
-    c->server->held_bytes -= e->body->len;
+    c->server->body_bytes -= e->body->len;
     if (e->answer != NULL) {
         g_string_free(e->answer, TRUE);
     }
--- a/packages/net/src/http_server.c
+++ b/packages/net/src/http_server.c
@@ -6,7 +6,7 @@
 #include "sas/http.h"
 
 #define LISTEN_BACKLOG 1024
-#define SWEEP_MS 250
+#define SWEEP_MS 250 /* between two checks of all timeouts */
 #define STEP "server.listen"
 
 const char *
@@ -57,11 +57,12 @@
                    const struct sas_http_server_limits *limits,
                    struct sas_http_handler *handler, struct sas_error *error)
 {
-    char peer[SasModel_IP_SIZE + 8];
-    snprintf(peer, sizeof(peer), "%s:%d", address->ip, address->port);
+    char endpoint[SasModel_IP_SIZE + 8];
+    snprintf(endpoint, sizeof(endpoint), "%s:%d", address->ip, address->port);
     struct sockaddr_storage storage;
     if (SasHttp_GetSockaddr(address, &storage) != 0) {
-        SasError_Set(error, SAS_EINVAL, STEP, peer, "not a numeric address");
+        SasError_Set(error, SAS_EINVAL, STEP, endpoint,
+                     "not a numeric address");
         return NULL;
     }
     struct sas_http_server *server = g_new0(struct sas_http_server, 1);
@@ -79,7 +80,7 @@
                        on_accept);
     }
     if (rc != 0) {
-        SasError_Set(error, SAS_EIO, STEP, peer, "%s", uv_strerror(rc));
+        SasError_Set(error, SAS_EIO, STEP, endpoint, "%s", uv_strerror(rc));
         SasHttpServer_Close(server);
         return NULL;
     }
