--- a/packages/net/src/fetch.c
+++ b/packages/net/src/fetch.c
@@ -3,7 +3,7 @@
 #include <glib.h>
 #include <string.h>
 
-#define MAX_BODY (64u * 1024 * 1024)
+#define MAX_BODY_BYTES (64u * 1024 * 1024)
 
 struct fetch {
     struct sas_http_user user; /* first: the vtable */
@@ -31,7 +31,7 @@
 on_body(struct sas_http_user *user, const char *data, size_t size)
 {
     struct fetch *fetch = (struct fetch *)user;
-    if (fetch->body->len + size <= MAX_BODY) {
+    if (fetch->body->len + size <= MAX_BODY_BYTES) {
         g_string_append_len(fetch->body, data, (gssize)size);
     }
 }
@@ -41,10 +41,10 @@
 {
     (void)reusable;
     struct fetch *fetch = (struct fetch *)user;
-    fetch->result = whole && fetch->body->len < MAX_BODY ? 0 : -1;
+    fetch->result = whole && fetch->body->len < MAX_BODY_BYTES ? 0 : -1;
     if (fetch->result != 0) {
         SasError_Set(fetch->error, SAS_EIO, "http.fetch", NULL,
-                     "the answer can't be proved whole");
+                     "close-delimited answer, or body of 64 MiB or more");
     }
 }
 
