--- a/packages/net/tests/http_fixture.c
+++ b/packages/net/tests/http_fixture.c
@@ -44,7 +44,8 @@
     *buffer = uv_buf_init(scratch, sizeof(scratch));
 }
 
-/* libuv reports a reset that comes in one turn with bytes as an end. */
+/* libuv reports a reset that arrives in one iteration with bytes as the end of
+ * the stream. */
 static bool
 was_reset(const struct fixture *f)
 {
@@ -61,7 +62,7 @@
 {
     struct fixture *f = stream->data;
     if (count > 0) {
-        g_string_append_len(f->got, data->base, count);
+        g_string_append_len(f->received, data->base, count);
     }
     if (count < 0) {
         f->end = was_reset(f) ? UV_ECONNRESET : (int)count;
@@ -77,7 +78,7 @@
 }
 
 void
-spin(struct fixture *f)
+run_loop(struct fixture *f)
 {
     for (int i = 0; i < 200; i++) {
         uv_run(&f->loop, UV_RUN_NOWAIT);
@@ -86,10 +87,10 @@
 }
 
 void
-spin_until_end(struct fixture *f)
+run_until_end(struct fixture *f)
 {
     for (int i = 0; i < 250 && f->end == 0; i++) {
-        spin(f);
+        run_loop(f);
     }
 }
 
@@ -100,7 +101,7 @@
     f->handler.on_request = on_request;
     f->handler.on_abandoned = on_abandoned;
     f->handler.on_closed = on_closed;
-    f->got = g_string_new(NULL);
+    f->received = g_string_new(NULL);
     uv_loop_init(&f->loop);
     struct sas_address address = {"127.0.0.1", 0};
     struct sas_http_server_limits limits = {
@@ -116,16 +117,17 @@
         SasHttpServer_Open(&f->loop, &address, &limits, &f->handler, &error);
     assert_non_null(f->server);
     int window = given->window;
-    struct sockaddr_in to;
-    uv_ip4_addr("127.0.0.1", SasHttpServer_GetPort(f->server), &to);
+    struct sockaddr_in server_address;
+    uv_ip4_addr("127.0.0.1", SasHttpServer_GetPort(f->server),
+                &server_address);
     uv_tcp_init_ex(&f->loop, &f->client, AF_INET);
     if (given->window > 0) {
         uv_recv_buffer_size((uv_handle_t *)&f->client, &window);
     }
     f->client.data = f;
-    uv_tcp_connect(&f->connect, &f->client, (struct sockaddr *)&to,
+    uv_tcp_connect(&f->connect, &f->client, (struct sockaddr *)&server_address,
                    on_connect);
-    spin(f);
+    run_loop(f);
     return f;
 }
 
@@ -138,7 +140,7 @@
 }
 
 void
-put(struct fixture *f, const char *text)
+write_text(struct fixture *f, const char *text)
 {
     uv_buf_t buffer = uv_buf_init((char *)text, (unsigned int)strlen(text));
     assert_int_equal(uv_try_write((uv_stream_t *)&f->client, &buffer, 1),
@@ -146,10 +148,10 @@
 }
 
 void
-say(struct fixture *f, const char *text)
+write_and_run(struct fixture *f, const char *text)
 {
-    put(f, text);
-    spin(f);
+    write_text(f, text);
+    run_loop(f);
 }
 
 void
@@ -161,7 +163,7 @@
         .body_size = strlen(body),
     };
     SasHttpExchange_Reply(f->held[number], &answer);
-    spin(f);
+    run_loop(f);
 }
 
 void
@@ -173,6 +175,6 @@
     }
     uv_run(&f->loop, UV_RUN_DEFAULT);
     assert_int_equal(uv_loop_close(&f->loop), 0);
-    g_string_free(f->got, TRUE);
+    g_string_free(f->received, TRUE);
     g_free(f);
 }
--- a/packages/net/tests/test_http_server.c
+++ b/packages/net/tests/test_http_server.c
@@ -8,22 +8,23 @@
 #include "http_fixture.h"
 
 #define WINDOW 4096                      /* bytes */
-#define KERNEL_BODY ((size_t)100 * 1024) /* less than a socket holds */
+#define KERNEL_BODY ((size_t)100 * 1024) /* fits into a socket buffer */
 
 static void
-test_pipelined_requests_are_given_at_once_and_answered_in_order(void **state)
+test_pipelined_requests_run_concurrently_and_answer_in_order(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
-    say(f, "GET /1 HTTP/1.1\r\nHost: x\r\n\r\n"
-           "GET /2 HTTP/1.1\r\nHost: x\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\nHost: x\r\n\r\n"
+                     "GET /2 HTTP/1.1\r\nHost: x\r\n\r\n");
     assert_int_equal(f->held_count, 2);
     assert_string_equal(SasHttpExchange_GetTarget(f->held[1]), "/2");
     reply(f, 1, "second");
-    assert_int_equal(f->got->len, 0);
+    assert_int_equal(f->received->len, 0);
     reply(f, 0, "first");
-    assert_true(strstr(f->got->str, "first") < strstr(f->got->str, "second"));
-    assert_non_null(strstr(f->got->str, "second"));
+    assert_true(strstr(f->received->str, "first") <
+                strstr(f->received->str, "second"));
+    assert_non_null(strstr(f->received->str, "second"));
     assert_int_equal(f->end, 0);
     stop(f);
 }
@@ -33,10 +34,10 @@
 {
     (void)state;
     struct fixture *f = start(1000);
-    say(f, "POST /1 HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
+    write_and_run(f, "POST /1 HTTP/1.1\r\nContent-Length: 4\r\n\r\nab");
     assert_int_equal(f->held_count, 0);
-    say(f, "cdPOST /2 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
-           "3\r\nxyz\r\n0\r\n\r\n");
+    write_and_run(f, "cdPOST /2 HTTP/1.1\r\nTransfer-Encoding: chunked\r\n\r\n"
+                     "3\r\nxyz\r\n0\r\n\r\n");
     assert_int_equal(f->held_count, 2);
     size_t size;
     assert_memory_equal(SasHttpExchange_GetBody(f->held[0], &size), "abcd", 4);
@@ -47,17 +48,17 @@
     stop(f);
 }
 
-/* A caller gives up and closes: its work must end at the servers, though its
- * answer is not due yet. */
+/* Guards against requests that run on for a caller that has closed its
+ * connection: the handler must learn it before it answers. */
 static void
-test_a_caller_that_leaves_is_seen_while_its_request_runs(void **state)
+test_a_close_by_the_caller_abandons_its_running_requests(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
-    say(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
     assert_int_equal(SasHttpServer_CountExchanges(f->server), 2);
     uv_close((uv_handle_t *)&f->client, NULL);
-    spin(f);
+    run_loop(f);
     assert_int_equal(f->abandoned, 2);
     assert_int_equal(SasHttpServer_CountExchanges(f->server), 0);
     stop(f);
@@ -67,15 +68,15 @@
 expect_refusal(const char *text, const char *status)
 {
     struct fixture *f = start(1000);
-    say(f, text);
+    write_and_run(f, text);
     assert_int_equal(f->held_count, 0);
-    assert_non_null(strstr(f->got->str, status));
+    assert_non_null(strstr(f->received->str, status));
     assert_int_equal(f->end, UV_EOF);
     stop(f);
 }
 
 static void
-test_what_cannot_be_read_is_refused_and_ends(void **state)
+test_unreadable_requests_are_refused_and_the_connection_closed(void **state)
 {
     (void)state;
     expect_refusal("NONSENSE\r\n\r\n", " 400 ");
@@ -89,115 +90,115 @@
     expect_refusal(head, " 431 ");
 }
 
-/* A planned stop: the answer to the last request closes its connection. One
- * that others wait behind does not, or these would count as not read and the
- * callers would send them once more while they run. */
+/* In a graceful shutdown the answer to the last request closes the connection.
+ * Guards against one that closes before further requests are answered: the
+ * caller takes these as not processed and retries them while they run. */
 static void
-test_draining_closes_behind_the_last_answer_only(void **state)
+test_draining_closes_after_the_last_answer_only(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
-    say(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
     SasHttpServer_Drain(f->server, 60000);
     reply(f, 0, "first");
-    assert_null(strstr(f->got->str, "Connection: close"));
+    assert_null(strstr(f->received->str, "Connection: close"));
     assert_int_equal(f->end, 0);
     reply(f, 1, "second");
-    assert_non_null(strstr(f->got->str, "Connection: close"));
+    assert_non_null(strstr(f->received->str, "Connection: close"));
     assert_int_equal(f->end, UV_EOF);
     stop(f);
 }
 
-/* Guards against a request that is handed out behind an answer that closes
- * its connection, and cut off by it. */
+/* Guards against a request that is dispatched after the answer that closes its
+ * connection, and abandoned. */
 static void
-test_draining_cuts_no_request_off_behind_a_closing_answer(void **state)
+test_draining_abandons_no_request_after_a_closing_answer(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
-    say(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
     SasHttpServer_Drain(f->server, LONG_MS);
     reply(f, 1, "second");
-    say(f, "GET /3 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /3 HTTP/1.1\r\n\r\n");
     reply(f, 0, "first");
     assert_int_equal(f->abandoned, 0);
     assert_int_equal(f->held_count, 3);
     reply(f, 2, "third");
-    assert_non_null(strstr(f->got->str, "third"));
+    assert_non_null(strstr(f->received->str, "third"));
     assert_int_equal(f->end, UV_EOF);
     stop(f);
 }
 
-/* Guards against a request that is handed out while a closing answer is still
- * on its way out. */
+/* Guards against a request that is dispatched while a closing answer is being
+ * sent. */
 static void
-test_nothing_is_handed_out_once_a_closing_answer_is_being_sent(void **state)
+test_no_request_is_dispatched_while_a_closing_answer_is_sent(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
-    say(f, "GET /1 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\n");
     SasHttpServer_Drain(f->server, LONG_MS);
     uv_read_stop((uv_stream_t *)&f->client);
     g_autofree char *body = g_strnfill(LARGE_BODY, 'x');
     reply(f, 0, body);
-    say(f, "GET /2 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /2 HTTP/1.1\r\n\r\n");
     assert_int_equal(f->held_count, 1);
     uv_read_start((uv_stream_t *)&f->client, on_alloc, on_read);
-    spin_until_end(f);
-    assert_true(f->got->len > LARGE_BODY);
+    run_until_end(f);
+    assert_true(f->received->len > LARGE_BODY);
     assert_int_equal(f->end, UV_EOF);
     assert_int_equal(f->abandoned, 0);
     stop(f);
 }
 
-/* Guards against a request that comes in one piece with one that is refused
- * at once, and is cut off by the refusal. */
+/* Guards against a request that is abandoned because an earlier one, read in
+ * the same buffer, is refused at once. */
 static void
-test_draining_cuts_no_request_off_behind_a_refusal(void **state)
+test_draining_abandons_no_request_after_a_refusal(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
     SasHttpServer_Drain(f->server, LONG_MS);
     f->refuses_next = true;
-    say(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
     assert_int_equal(f->abandoned, 0);
     assert_int_equal(f->held_count, 2);
     reply(f, 1, "second");
-    assert_non_null(strstr(f->got->str, " 503 "));
-    assert_non_null(strstr(f->got->str, "second"));
+    assert_non_null(strstr(f->received->str, " 503 "));
+    assert_non_null(strstr(f->received->str, "second"));
     assert_int_equal(f->end, UV_EOF);
     stop(f);
 }
 
-/* Guards against a reset that overtakes an answer: a close while bytes of the
- * caller are unread. */
+/* Guards against a reset that overtakes an answer, as the socket is closed
+ * with unread bytes of the caller. */
 static void
-test_a_closing_answer_is_not_reset_by_what_the_caller_sent_after(void **state)
+test_a_closing_answer_is_not_reset_by_later_bytes_of_the_caller(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
-    say(f, "GET /1 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\n");
     SasHttpServer_Drain(f->server, LONG_MS);
-    put(f, "GET /2 HTTP/1.1\r\n\r\n");
+    write_text(f, "GET /2 HTTP/1.1\r\n\r\n");
     reply(f, 0, "first");
-    assert_non_null(strstr(f->got->str, "first"));
+    assert_non_null(strstr(f->received->str, "first"));
     assert_int_equal(f->end, UV_EOF);
     assert_int_equal(f->held_count, 1);
     assert_int_equal(SasHttpServer_CountBusy(f->server), 1);
     uv_close((uv_handle_t *)&f->client, NULL);
-    spin(f);
+    run_loop(f);
     assert_int_equal(SasHttpServer_CountBusy(f->server), 0);
     stop(f);
 }
 
-/* Guards against an answer that is cut off by the idle limit of a stop while
+/* Guards against an answer that the idle limit of a drain cuts short while
  * its caller reads it. */
 static void
-test_draining_cuts_no_answer_off_that_is_read_slowly(void **state)
+test_draining_completes_an_answer_that_is_read_slowly(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
-    say(f, "GET /1 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\n");
     uv_read_stop((uv_stream_t *)&f->client);
     g_autofree char *body = g_strnfill(LARGE_BODY, 'x');
     reply(f, 0, body);
@@ -205,56 +206,56 @@
     assert_int_equal(SasHttpServer_CountBusy(f->server), 1);
     SasHttpServer_Drain(f->server, 1);
     for (int i = 0; i < 20; i++) {
-        spin(f);
+        run_loop(f);
     }
     uv_read_start((uv_stream_t *)&f->client, on_alloc, on_read);
-    spin_until_end(f);
-    assert_true(f->got->len > LARGE_BODY);
+    run_until_end(f);
+    assert_true(f->received->len > LARGE_BODY);
     assert_int_equal(f->end, UV_EOF);
     stop(f);
 }
 
-/* Guards against a request that is there already, and is reset by the idle
- * limit instead of being read. */
+/* Guards against a request that has arrived and is reset by the idle limit
+ * instead of being read. */
 static void
-test_an_idle_connection_is_not_closed_over_a_request(void **state)
+test_an_idle_connection_with_an_unread_request_is_not_closed(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
-    say(f, "GET /1 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\n");
     reply(f, 0, "first");
     SasHttpServer_Drain(f->server, 1);
-    put(f, "GET /2 HTTP/1.1\r\n\r\n");
-    g_usleep(SWEEP_US);
-    spin(f);
+    write_text(f, "GET /2 HTTP/1.1\r\n\r\n");
+    g_usleep(TWO_SWEEPS_US);
+    run_loop(f);
     assert_int_equal(f->held_count, 2);
     reply(f, 1, "second");
-    assert_non_null(strstr(f->got->str, "second"));
+    assert_non_null(strstr(f->received->str, "second"));
     stop(f);
 }
 
-/* Guards against the end of a process over a request that has come and is not
+/* Guards against a process that exits while a request has arrived and isn't
  * read yet. */
 static void
-test_a_request_that_waits_in_its_socket_is_owed(void **state)
+test_a_connection_with_an_unread_request_is_busy(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
     assert_int_equal(SasHttpServer_CountBusy(f->server), 0);
-    put(f, "GET /1 HTTP/1.1\r\n\r\n");
+    write_text(f, "GET /1 HTTP/1.1\r\n\r\n");
     assert_int_equal(SasHttpServer_CountBusy(f->server), 1);
-    spin(f);
+    run_loop(f);
     reply(f, 0, "first");
     assert_int_equal(SasHttpServer_CountBusy(f->server), 0);
     stop(f);
 }
 
-/* Heads have no time to come in pieces. */
-static const struct fixture_limits hasty = {.body_bytes = 1000,
-                                            .header_ms = 1};
+/* A head that arrives in pieces exceeds its timeout. */
+static const struct fixture_limits short_header_timeout = {.body_bytes = 1000,
+                                                           .header_ms = 1};
 
-/* Guards against a reset that overtakes an answer which the kernel still
- * holds: its caller reads it late, and sends something before. */
+/* Guards against a reset that overtakes an answer in the kernel's send buffer:
+ * the caller reads it late and sends bytes before. */
 static void
 test_a_closing_answer_that_is_read_late_is_not_reset(void **state)
 {
@@ -262,26 +263,26 @@
     const struct fixture_limits limits = {
         .body_bytes = 1000, .header_ms = LONG_MS, .window = WINDOW};
     struct fixture *f = start_with(&limits);
-    say(f, "GET /1 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\n");
     SasHttpServer_Drain(f->server, LONG_MS);
     uv_read_stop((uv_stream_t *)&f->client);
     g_autofree char *body = g_strnfill(KERNEL_BODY, 'x');
     reply(f, 0, body);
-    g_usleep(SWEEP_US);
-    spin(f);
-    g_usleep(SWEEP_US);
-    spin(f);
-    say(f, "GET /2 HTTP/1.1\r\n\r\n");
+    g_usleep(TWO_SWEEPS_US);
+    run_loop(f);
+    g_usleep(TWO_SWEEPS_US);
+    run_loop(f);
+    write_and_run(f, "GET /2 HTTP/1.1\r\n\r\n");
     uv_read_start((uv_stream_t *)&f->client, on_alloc, on_read);
-    spin_until_end(f);
+    run_until_end(f);
     assert_int_equal(f->end, UV_EOF);
-    assert_true(f->got->len > KERNEL_BODY);
+    assert_true(f->received->len > KERNEL_BODY);
     assert_int_equal(f->held_count, 1);
     stop(f);
 }
 
-/* Guards against an idle limit that cuts off a caller which reads an answer
- * in small pieces for longer than that. */
+/* Guards against an idle limit that closes the connection of a caller which
+ * reads an answer in small pieces for longer than the limit. */
 static void
 test_an_answer_outlasts_the_idle_limit_while_it_is_read(void **state)
 {
@@ -291,7 +292,7 @@
                                           .idle_ms = 1000,
                                           .window = WINDOW};
     struct fixture *f = start_with(&limits);
-    say(f, "GET /1 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\n");
     uv_read_stop((uv_stream_t *)&f->client);
     g_autofree char *body = g_strnfill(LARGE_BODY, 'x');
     reply(f, 0, body);
@@ -300,77 +301,77 @@
         uv_os_fd_t fd;
         uv_fileno((uv_handle_t *)&f->client, &fd);
         assert_true(recv(fd, piece, sizeof(piece), MSG_DONTWAIT) != 0);
-        spin(f);
-        g_usleep(SWEEP_US / 20);
+        run_loop(f);
+        g_usleep(TWO_SWEEPS_US / 20);
     }
     assert_int_equal(f->closed, 0);
     stop(f);
 }
 
-/* Guards against a closing answer without an orderly end, where the process
- * stood still between the answer's last byte and the news of it. */
+/* Guards against an immediate close instead of a lingering one, when the
+ * process was paused between the last write of a closing answer and its
+ * completion callback. */
 static void
-test_a_pause_behind_a_closing_answer_is_no_idle_connection(void **state)
+test_a_process_pause_after_a_closing_answer_is_not_idle_time(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
-    say(f, "GET /1 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\n");
     SasHttpServer_Drain(f->server, 1);
     struct sas_http_reply answer = {.status = 200, .body = ""};
     SasHttpExchange_Reply(f->held[0], &answer);
-    g_usleep(SWEEP_US);
+    g_usleep(TWO_SWEEPS_US);
     for (int i = 0; i < 250 && f->closed == 0; i++) {
-        spin(f);
+        run_loop(f);
     }
     assert_int_equal(f->leftover.end, SAS_HTTP_END_ANSWER);
     stop(f);
 }
 
-/* Guards against callers that keep a connection open for ever behind its
- * closing answer. */
+/* Guards against callers that never close a connection after its closing
+ * answer. */
 static void
-test_a_connection_that_its_caller_does_not_close_is_closed(void **state)
+test_a_lingering_connection_is_closed_after_its_timeout(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
-    say(f, "GET /1 HTTP/1.1\r\nConnection: close\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\nConnection: close\r\n\r\n");
     reply(f, 0, "first");
     assert_int_equal(f->end, UV_EOF);
     for (int i = 0; i < 250 && f->closed == 0; i++) {
-        spin(f);
+        run_loop(f);
     }
     assert_int_equal(f->closed, 1);
     assert_int_equal(f->leftover.end, SAS_HTTP_END_ANSWER);
     stop(f);
 }
 
-/* Guards against a request that is given out behind one that asks for the
- * close, and cut off by its answer. */
+/* Guards against a request that is dispatched after one with Connection:
+ * close, and abandoned when that is answered. */
 static void
-test_nothing_is_given_out_behind_a_request_that_asks_for_the_close(
-    void **state)
+test_no_request_is_dispatched_after_connection_close(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
-    say(f, "GET /1 HTTP/1.1\r\nConnection: close\r\n\r\n"
-           "GET /2 HTTP/1.1\r\n\r\n");
-    say(f, "GET /3 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\nConnection: close\r\n\r\n"
+                     "GET /2 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /3 HTTP/1.1\r\n\r\n");
     assert_int_equal(f->held_count, 1);
     reply(f, 0, "first");
-    assert_non_null(strstr(f->got->str, "Connection: close"));
+    assert_non_null(strstr(f->received->str, "Connection: close"));
     assert_int_equal(f->end, UV_EOF);
     stop(f);
 }
 
-/* Guards against connections that are cut without a word: whoever serves is
- * told what is left undone, and by whom. */
+/* Guards against connections that close without a report: the handler must
+ * learn why and what is unfinished. */
 static void
-test_what_a_connection_leaves_undone_is_told(void **state)
+test_unfinished_work_is_reported_when_a_connection_closes(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
-    say(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
-    put(f, "GET /3");
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
+    write_text(f, "GET /3");
     SasHttpServer_Close(f->server);
     assert_int_equal(f->closed, 1);
     assert_int_equal(f->leftover.end, SAS_HTTP_END_SERVER);
@@ -380,75 +381,75 @@
 }
 
 static void
-test_a_caller_that_leaves_is_told_as_such(void **state)
+test_a_close_by_the_caller_is_reported_as_such(void **state)
 {
     (void)state;
     struct fixture *f = start(1000);
-    say(f, "GET /1 HTTP/1.1\r\n\r\n");
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\n");
     uv_close((uv_handle_t *)&f->client, NULL);
-    spin(f);
+    run_loop(f);
     assert_int_equal(f->leftover.end, SAS_HTTP_END_CALLER);
     assert_int_equal(f->leftover.unanswered, 1);
     stop(f);
 }
 
-/* Guards against 408 for a head whose rest waits in the socket. */
+/* Guards against 408 for a head whose rest is unread in the socket. */
 static void
-test_a_head_that_has_come_is_not_late(void **state)
+test_an_unread_head_does_not_time_out(void **state)
 {
     (void)state;
-    struct fixture *f = start_with(&hasty);
-    say(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTT");
-    put(f, "P/1.1\r\n\r\n");
-    g_usleep(SWEEP_US);
-    spin(f);
+    struct fixture *f = start_with(&short_header_timeout);
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTT");
+    write_text(f, "P/1.1\r\n\r\n");
+    g_usleep(TWO_SWEEPS_US);
+    run_loop(f);
     assert_int_equal(f->held_count, 2);
     reply(f, 0, "first");
     reply(f, 1, "second");
-    assert_non_null(strstr(f->got->str, "second"));
+    assert_non_null(strstr(f->received->str, "second"));
     stop(f);
 }
 
-/* Guards against 408 for a head that this side doesn't read on, as too many
- * requests wait before it. */
+/* Guards against 408 for a head that the server doesn't read to its end, as
+ * too many earlier requests are unanswered. */
 static void
-test_a_head_that_is_not_read_on_is_not_late(void **state)
+test_a_head_does_not_time_out_while_reading_is_paused(void **state)
 {
     (void)state;
-    struct fixture *f = start_with(&hasty);
+    struct fixture *f = start_with(&short_header_timeout);
     for (int i = 0; i < SasHttpServer_MAX_PIPELINE - 1; i++) {
-        put(f, "GET / HTTP/1.1\r\n\r\n");
+        write_text(f, "GET / HTTP/1.1\r\n\r\n");
     }
-    say(f, "GET / HTTP/1.1\r\n\r\nGET /last HTT");
-    g_usleep(SWEEP_US);
-    spin(f);
-    g_usleep(SWEEP_US);
-    spin(f);
-    assert_int_equal(f->got->len, 0);
-    put(f, "P/1.1\r\n\r\n");
+    write_and_run(f, "GET / HTTP/1.1\r\n\r\nGET /last HTT");
+    g_usleep(TWO_SWEEPS_US);
+    run_loop(f);
+    g_usleep(TWO_SWEEPS_US);
+    run_loop(f);
+    assert_int_equal(f->received->len, 0);
+    write_text(f, "P/1.1\r\n\r\n");
     for (int i = 0; i < SasHttpServer_MAX_PIPELINE; i++) {
         reply(f, i, "");
     }
     assert_int_equal(f->held_count, SasHttpServer_MAX_PIPELINE + 1);
-    assert_null(strstr(f->got->str, " 408 "));
+    assert_null(strstr(f->received->str, " 408 "));
     stop(f);
 }
 
-/* Guards against a slow head that cuts off the requests before it. */
+/* Guards against a slow head whose 408 abandons the requests before it. */
 static void
-test_a_slow_head_cuts_off_nothing_before_it(void **state)
+test_a_slow_head_abandons_no_earlier_request(void **state)
 {
     (void)state;
-    struct fixture *f = start_with(&hasty);
-    say(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTT");
+    struct fixture *f = start_with(&short_header_timeout);
+    write_and_run(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTT");
     for (int i = 0; i < 20; i++) {
-        spin(f);
+        run_loop(f);
     }
     assert_int_equal(f->abandoned, 0);
     reply(f, 0, "first");
-    spin_until_end(f);
-    assert_non_null(strstr(f->got->str, "first"));
-    assert_non_null(strstr(f->got->str, " 408 "));
+    run_until_end(f);
+    assert_non_null(strstr(f->received->str, "first"));
+    assert_non_null(strstr(f->received->str, " 408 "));
     stop(f);
 }
 
@@ -457,36 +458,40 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(
-            test_pipelined_requests_are_given_at_once_and_answered_in_order),
+            test_pipelined_requests_run_concurrently_and_answer_in_order),
         cmocka_unit_test(test_bodies_with_a_length_or_in_chunks_are_whole),
         cmocka_unit_test(
-            test_a_caller_that_leaves_is_seen_while_its_request_runs),
-        cmocka_unit_test(test_what_cannot_be_read_is_refused_and_ends),
-        cmocka_unit_test(test_draining_closes_behind_the_last_answer_only),
+            test_a_close_by_the_caller_abandons_its_running_requests),
         cmocka_unit_test(
-            test_draining_cuts_no_request_off_behind_a_closing_answer),
+            test_unreadable_requests_are_refused_and_the_connection_closed),
+        cmocka_unit_test(test_draining_closes_after_the_last_answer_only),
         cmocka_unit_test(
-            test_nothing_is_handed_out_once_a_closing_answer_is_being_sent),
-        cmocka_unit_test(test_draining_cuts_no_request_off_behind_a_refusal),
+            test_draining_abandons_no_request_after_a_closing_answer),
         cmocka_unit_test(
-            test_a_closing_answer_is_not_reset_by_what_the_caller_sent_after),
-        cmocka_unit_test(test_draining_cuts_no_answer_off_that_is_read_slowly),
-        cmocka_unit_test(test_an_idle_connection_is_not_closed_over_a_request),
-        cmocka_unit_test(test_a_request_that_waits_in_its_socket_is_owed),
+            test_no_request_is_dispatched_while_a_closing_answer_is_sent),
+        cmocka_unit_test(test_draining_abandons_no_request_after_a_refusal),
+        cmocka_unit_test(
+            test_a_closing_answer_is_not_reset_by_later_bytes_of_the_caller),
+        cmocka_unit_test(
+            test_draining_completes_an_answer_that_is_read_slowly),
+        cmocka_unit_test(
+            test_an_idle_connection_with_an_unread_request_is_not_closed),
+        cmocka_unit_test(test_a_connection_with_an_unread_request_is_busy),
         cmocka_unit_test(test_a_closing_answer_that_is_read_late_is_not_reset),
         cmocka_unit_test(
             test_an_answer_outlasts_the_idle_limit_while_it_is_read),
         cmocka_unit_test(
-            test_a_pause_behind_a_closing_answer_is_no_idle_connection),
+            test_a_process_pause_after_a_closing_answer_is_not_idle_time),
+        cmocka_unit_test(
+            test_a_lingering_connection_is_closed_after_its_timeout),
+        cmocka_unit_test(test_no_request_is_dispatched_after_connection_close),
         cmocka_unit_test(
-            test_a_connection_that_its_caller_does_not_close_is_closed),
+            test_unfinished_work_is_reported_when_a_connection_closes),
+        cmocka_unit_test(test_a_close_by_the_caller_is_reported_as_such),
+        cmocka_unit_test(test_an_unread_head_does_not_time_out),
         cmocka_unit_test(
-            test_nothing_is_given_out_behind_a_request_that_asks_for_the_close),
-        cmocka_unit_test(test_what_a_connection_leaves_undone_is_told),
-        cmocka_unit_test(test_a_caller_that_leaves_is_told_as_such),
-        cmocka_unit_test(test_a_head_that_has_come_is_not_late),
-        cmocka_unit_test(test_a_head_that_is_not_read_on_is_not_late),
-        cmocka_unit_test(test_a_slow_head_cuts_off_nothing_before_it),
+            test_a_head_does_not_time_out_while_reading_is_paused),
+        cmocka_unit_test(test_a_slow_head_abandons_no_earlier_request),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
