--- a/packages/net/tests/http_server_shim.c
+++ b/packages/net/tests/http_server_shim.c
@@ -1,9 +1,9 @@
-/* Flat functions for the property test of the callers' connection, which
- * calls them through ctypes: a server, its handler and its loop. The caller is
- * a socket of the test's own.
+/* Functions that the property test of a caller's connection calls through
+ * ctypes: an HTTP server, its handler and its loop. The caller is a socket of
+ * the test.
  *
- * Time stands still but for SasShim_Wait: the library is linked with --wrap,
- * so that the server's timers and its clock are those below.
+ * The time is simulated, only SasShim_AdvanceTime advances it: the library is
+ * linked with --wrap, which replaces libuv's clock and timers by those below.
  */
 #include <stdlib.h>
 #include <string.h>
@@ -13,9 +13,9 @@
 
 #include "sas/http_server.h"
 
-#define BEGAN_MS 1000000
-#define SEND_BUFFER 8192 /* of the server; the kernel doubles it */
-#define LAST_TURNS 10000
+#define START_MS 1000000 /* of the simulated clock */
+#define SEND_BUFFER 8192 /* bytes; of the server; the kernel doubles it */
+#define MAX_CLOSE_ITERATIONS 10000 /* of the loop */
 
 enum state {
     HELD,
@@ -23,15 +23,15 @@
     ABANDONED
 };
 
-/* What the handler does in on_request instead of holding the request. */
-enum deed {
-    DEED_HOLD,
-    DEED_ANSWER,
-    DEED_DRAIN,
-    DEED_CLOSE
+/* What the handler does in on_request. */
+enum action {
+    ACTION_HOLD,
+    ACTION_ANSWER,
+    ACTION_DRAIN,
+    ACTION_CLOSE
 };
 
-struct given {
+struct request {
     struct sas_http_exchange *exchange; /* while it is held */
     char *target;
     char *body;
@@ -40,7 +40,7 @@
 };
 
 struct reaction {
-    int deed;
+    int action;
     int status;
     int64_t number; /* size of the answer's body; idle_ms of a drain */
 };
@@ -56,20 +56,20 @@
     struct sas_http_handler handler;
     uv_loop_t loop;
     struct sas_http_server *server;
-    GArray *given;     /* struct given */
-    GArray *reactions; /* struct reaction, of the next requests */
-    GArray *timers;    /* struct timer */
-    GArray *closed;    /* struct sas_http_leftover */
-    int strays;        /* abandoned, but not held */
-    int late;          /* given behind the server's close */
+    GArray *requests;     /* struct request, in the order of on_request */
+    GArray *reactions;    /* struct reaction, for the next requests */
+    GArray *timers;       /* struct timer */
+    GArray *closed;       /* struct sas_http_leftover */
+    int unknown_abandons; /* of exchanges that aren't held */
+    int after_close;      /* requests dispatched after the server's close */
     uint64_t now;
 };
 
 struct rig *SasShim_NewRig(void);
 int SasShim_FreeRig(struct rig *rig);
 int SasShim_GetPort(const struct rig *rig);
-void SasShim_Turn(struct rig *rig);
-void SasShim_Wait(struct rig *rig, int64_t ms, int turns);
+void SasShim_RunLoop(struct rig *rig);
+void SasShim_AdvanceTime(struct rig *rig, int64_t ms, int iterations);
 void SasShim_SetLimits(struct rig *rig, int64_t header_bytes,
                        int64_t body_bytes, int64_t bodies_bytes,
                        int64_t header_ms, int64_t idle_ms);
@@ -77,14 +77,15 @@
 void SasShim_CloseServer(struct rig *rig);
 int SasShim_IsOpen(const struct rig *rig);
 void SasShim_Reply(struct rig *rig, int index, int status, int64_t size);
-void SasShim_React(struct rig *rig, int deed, int status, int64_t number);
-int SasShim_CountGiven(const struct rig *rig);
+void SasShim_QueueReaction(struct rig *rig, int action, int status,
+                           int64_t number);
+int SasShim_CountDispatched(const struct rig *rig);
 const char *SasShim_GetTarget(const struct rig *rig, int index);
 const char *SasShim_GetBody(const struct rig *rig, int index);
 int SasShim_GetState(const struct rig *rig, int index);
 const char *SasShim_GetEnd(const struct rig *rig, int index);
-int SasShim_CountStrays(const struct rig *rig);
-int SasShim_CountLate(const struct rig *rig);
+int SasShim_CountUnknownAbandons(const struct rig *rig);
+int SasShim_CountAfterClose(const struct rig *rig);
 int SasShim_CountClosed(const struct rig *rig);
 const char *SasShim_GetClosedEnd(const struct rig *rig, int index);
 int SasShim_CountExchanges(const struct rig *rig);
@@ -108,7 +109,7 @@
 }
 
 static void
-forget_timer(uv_timer_t *handle)
+remove_timer(uv_timer_t *handle)
 {
     GArray *timers = ((struct rig *)handle->loop->data)->timers;
     for (guint i = 0; i < timers->len; i++) {
@@ -125,7 +126,7 @@
 {
     struct rig *rig = handle->loop->data;
     struct timer timer = {handle, on_timer, rig->now + timeout, repeat};
-    forget_timer(handle);
+    remove_timer(handle);
     g_array_append_val(rig->timers, timer);
     return 0;
 }
@@ -133,7 +134,7 @@
 int
 __wrap_uv_timer_stop(uv_timer_t *handle)
 {
-    forget_timer(handle);
+    remove_timer(handle);
     return 0;
 }
 
@@ -141,14 +142,14 @@
 __wrap_uv_close(uv_handle_t *handle, uv_close_cb on_close)
 {
     if (uv_handle_get_type(handle) == UV_TIMER) {
-        forget_timer((uv_timer_t *)handle);
+        remove_timer((uv_timer_t *)handle);
     }
     __real_uv_close(handle, on_close);
 }
 
-/* The timer that is due first by then, or NULL. */
+/* The next timer that expires no later than by, or NULL. */
 static struct timer *
-find_due(struct rig *rig, uint64_t by)
+find_next_timer(struct rig *rig, uint64_t by)
 {
     struct timer *first = NULL;
     for (guint i = 0; i < rig->timers->len; i++) {
@@ -160,16 +161,17 @@
     return first;
 }
 
-/* turns: of the loop, before each timer. */
+/* Advances the time and runs the timers that expire; before each of them,
+ * and at the end, the loop runs for so many iterations. */
 void
-SasShim_Wait(struct rig *rig, int64_t ms, int turns)
+SasShim_AdvanceTime(struct rig *rig, int64_t ms, int iterations)
 {
     uint64_t until = rig->now + (uint64_t)ms;
     for (;;) {
-        for (int i = 0; i < turns; i++) {
+        for (int i = 0; i < iterations; i++) {
             uv_run(&rig->loop, UV_RUN_NOWAIT);
         }
-        struct timer *timer = find_due(rig, until);
+        struct timer *timer = find_next_timer(rig, until);
         if (timer == NULL) {
             break;
         }
@@ -180,7 +182,7 @@
             timer->due += timer->repeat;
         }
         else {
-            forget_timer(handle);
+            remove_timer(handle);
         }
         on_timer(handle);
     }
@@ -189,17 +191,17 @@
 
 /* The handler. */
 
-static struct given *
-get_given(const struct rig *rig, int index)
+static struct request *
+get_request(const struct rig *rig, int index)
 {
-    return &g_array_index(rig->given, struct given, index);
+    return &g_array_index(rig->requests, struct request, index);
 }
 
 void
 SasShim_Reply(struct rig *rig, int index, int status, int64_t size)
 {
-    struct given *given = get_given(rig, index);
-    const char *number = given->target + 1;
+    struct request *request = get_request(rig, index);
+    const char *number = request->target + 1;
     g_autofree char *body =
         g_strnfill((gsize)size, (char)('a' + atoi(number) % 26));
     struct sas_http_header header = {"X-Number", number};
@@ -210,23 +212,23 @@
         .body = body,
         .body_size = (size_t)size,
     };
-    struct sas_http_exchange *exchange = given->exchange;
-    given->exchange = NULL;
-    given->state = ANSWERED;
+    struct sas_http_exchange *exchange = request->exchange;
+    request->exchange = NULL;
+    request->state = ANSWERED;
     SasHttpExchange_Reply(exchange, &reply);
 }
 
 static void
 react(struct rig *rig, int index, const struct reaction *reaction)
 {
-    switch (reaction->deed) {
-    case DEED_ANSWER:
+    switch (reaction->action) {
+    case ACTION_ANSWER:
         SasShim_Reply(rig, index, reaction->status, reaction->number);
         break;
-    case DEED_DRAIN:
+    case ACTION_DRAIN:
         SasShim_Drain(rig, reaction->number);
         break;
-    case DEED_CLOSE:
+    case ACTION_CLOSE:
         SasShim_CloseServer(rig);
         break;
     default:
@@ -239,23 +241,23 @@
 {
     struct rig *rig = (struct rig *)handler;
     if (rig->server == NULL) {
-        rig->late++;
+        rig->after_close++;
         return;
     }
     size_t size;
     const char *body = SasHttpExchange_GetBody(e, &size);
-    struct given given = {
+    struct request request = {
         .exchange = e,
         .target = g_strdup(SasHttpExchange_GetTarget(e)),
         .body = g_strndup(body, size),
         .state = HELD,
     };
-    g_array_append_val(rig->given, given);
+    g_array_append_val(rig->requests, request);
     if (rig->reactions->len > 0) {
         struct reaction reaction =
             g_array_index(rig->reactions, struct reaction, 0);
         g_array_remove_index(rig->reactions, 0);
-        react(rig, (int)rig->given->len - 1, &reaction);
+        react(rig, (int)rig->requests->len - 1, &reaction);
     }
 }
 
@@ -264,16 +266,16 @@
              enum sas_http_end end)
 {
     struct rig *rig = (struct rig *)handler;
-    for (int i = 0; i < (int)rig->given->len; i++) {
-        struct given *given = get_given(rig, i);
-        if (given->exchange == e) {
-            given->exchange = NULL;
-            given->state = ABANDONED;
-            given->end = end;
+    for (int i = 0; i < (int)rig->requests->len; i++) {
+        struct request *request = get_request(rig, i);
+        if (request->exchange == e) {
+            request->exchange = NULL;
+            request->state = ABANDONED;
+            request->end = end;
             return;
         }
     }
-    rig->strays++;
+    rig->unknown_abandons++;
 }
 
 static void
@@ -291,19 +293,19 @@
     (void)data;
     int size = SEND_BUFFER;
     if (uv_handle_get_type(handle) == UV_TCP) {
-        uv_send_buffer_size(handle, &size); /* what it accepts inherits it */
+        uv_send_buffer_size(handle, &size); /* accepted sockets inherit it */
     }
 }
 
 static void
-clear_given(void *item)
+clear_request(void *item)
 {
-    struct given *given = item;
-    g_free(given->target);
-    g_free(given->body);
+    struct request *request = item;
+    g_free(request->target);
+    g_free(request->body);
 }
 
-/* NULL when the server can't be opened. */
+/* NULL if the server can't be opened. */
 struct rig *
 SasShim_NewRig(void)
 {
@@ -311,9 +313,9 @@
     rig->handler.on_request = on_request;
     rig->handler.on_abandoned = on_abandoned;
     rig->handler.on_closed = on_closed;
-    rig->now = BEGAN_MS;
-    rig->given = g_array_new(FALSE, FALSE, sizeof(struct given));
-    g_array_set_clear_func(rig->given, clear_given);
+    rig->now = START_MS;
+    rig->requests = g_array_new(FALSE, FALSE, sizeof(struct request));
+    g_array_set_clear_func(rig->requests, clear_request);
     rig->reactions = g_array_new(FALSE, FALSE, sizeof(struct reaction));
     rig->timers = g_array_new(FALSE, FALSE, sizeof(struct timer));
     rig->closed = g_array_new(FALSE, FALSE, sizeof(struct sas_http_leftover));
@@ -328,17 +330,18 @@
     return rig->server != NULL ? rig : NULL;
 }
 
-/* Not 0: a handle was left open. */
+/* Returns not 0 if a handle was left open. */
 int
 SasShim_FreeRig(struct rig *rig)
 {
     SasShim_CloseServer(rig);
-    for (int i = 0; i < LAST_TURNS && uv_loop_alive(&rig->loop); i++) {
+    for (int i = 0; i < MAX_CLOSE_ITERATIONS && uv_loop_alive(&rig->loop);
+         i++) {
         uv_run(&rig->loop, UV_RUN_NOWAIT);
     }
     int rc = uv_loop_close(&rig->loop);
     if (rc == 0) {
-        g_array_unref(rig->given);
+        g_array_unref(rig->requests);
         g_array_unref(rig->reactions);
         g_array_unref(rig->timers);
         g_array_unref(rig->closed);
@@ -354,7 +357,7 @@
 }
 
 void
-SasShim_Turn(struct rig *rig)
+SasShim_RunLoop(struct rig *rig)
 {
     uv_run(&rig->loop, UV_RUN_NOWAIT);
 }
@@ -395,54 +398,54 @@
 }
 
 void
-SasShim_React(struct rig *rig, int deed, int status, int64_t number)
+SasShim_QueueReaction(struct rig *rig, int action, int status, int64_t number)
 {
-    struct reaction reaction = {deed, status, number};
+    struct reaction reaction = {action, status, number};
     g_array_append_val(rig->reactions, reaction);
 }
 
-/* What happened. */
+/* Results. */
 
 int
-SasShim_CountGiven(const struct rig *rig)
+SasShim_CountDispatched(const struct rig *rig)
 {
-    return (int)rig->given->len;
+    return (int)rig->requests->len;
 }
 
 const char *
 SasShim_GetTarget(const struct rig *rig, int index)
 {
-    return get_given(rig, index)->target;
+    return get_request(rig, index)->target;
 }
 
 const char *
 SasShim_GetBody(const struct rig *rig, int index)
 {
-    return get_given(rig, index)->body;
+    return get_request(rig, index)->body;
 }
 
 int
 SasShim_GetState(const struct rig *rig, int index)
 {
-    return (int)get_given(rig, index)->state;
+    return (int)get_request(rig, index)->state;
 }
 
 const char *
 SasShim_GetEnd(const struct rig *rig, int index)
 {
-    return SasHttp_GetEndName(get_given(rig, index)->end);
+    return SasHttp_GetEndName(get_request(rig, index)->end);
 }
 
 int
-SasShim_CountStrays(const struct rig *rig)
+SasShim_CountUnknownAbandons(const struct rig *rig)
 {
-    return rig->strays;
+    return rig->unknown_abandons;
 }
 
 int
-SasShim_CountLate(const struct rig *rig)
+SasShim_CountAfterClose(const struct rig *rig)
 {
-    return rig->late;
+    return rig->after_close;
 }
 
 int
@@ -485,7 +488,7 @@
     }
 }
 
-/* Bytes that wait in libuv for the socket. */
+/* Bytes in libuv's write queues. */
 int64_t
 SasShim_CountUnsent(struct rig *rig)
 {
--- a/packages/net/tests/property_http_server.py
+++ b/packages/net/tests/property_http_server.py
@@ -1,9 +1,9 @@
-"""What the server gives out of a connection is answered whole, in order.
+"""Every request that the HTTP server dispatches is answered whole, in order.
 
-One caller's connection, with the order of its events drawn: pieces of requests
-cut anywhere, answers in any order and of any size, a caller that reads slowly
-or leaves, a drain, limits that change, time that passes, the server's close.
-Judged by what the caller got on its socket.
+One caller's connection with random events: pieces of requests split anywhere,
+answers in any order and of any size, a caller that reads slowly or closes, a
+drain, changes of the limits, time that passes, the server's close. The checks
+look at what the caller receives on its socket.
 """
 import select
 import socket
@@ -20,22 +20,23 @@
 new = declare(lib, PTR, "SasShim_NewRig")
 free = declare(lib, INT, "SasShim_FreeRig", PTR)
 get_port = declare(lib, INT, "SasShim_GetPort", PTR)
-turn_loop = declare(lib, None, "SasShim_Turn", PTR)
-let_pass = declare(lib, None, "SasShim_Wait", PTR, I64, INT)
+run_loop = declare(lib, None, "SasShim_RunLoop", PTR)
+advance_time = declare(lib, None, "SasShim_AdvanceTime", PTR, I64, INT)
 set_limits = declare(lib, None, "SasShim_SetLimits", PTR, I64, I64, I64, I64,
                      I64)
 drain_server = declare(lib, None, "SasShim_Drain", PTR, I64)
 close_server = declare(lib, None, "SasShim_CloseServer", PTR)
 is_open = declare(lib, INT, "SasShim_IsOpen", PTR)
 reply = declare(lib, None, "SasShim_Reply", PTR, INT, INT, I64)
-react = declare(lib, None, "SasShim_React", PTR, INT, INT, I64)
-count_given = declare(lib, INT, "SasShim_CountGiven", PTR)
+queue_reaction = declare(lib, None, "SasShim_QueueReaction", PTR, INT, INT,
+                         I64)
+count_dispatched = declare(lib, INT, "SasShim_CountDispatched", PTR)
 get_target = declare(lib, TEXT, "SasShim_GetTarget", PTR, INT)
 get_body = declare(lib, TEXT, "SasShim_GetBody", PTR, INT)
 get_state = declare(lib, INT, "SasShim_GetState", PTR, INT)
 get_end = declare(lib, TEXT, "SasShim_GetEnd", PTR, INT)
-count_strays = declare(lib, INT, "SasShim_CountStrays", PTR)
-count_late = declare(lib, INT, "SasShim_CountLate", PTR)
+count_unknown_abandons = declare(lib, INT, "SasShim_CountUnknownAbandons", PTR)
+count_after_close = declare(lib, INT, "SasShim_CountAfterClose", PTR)
 count_closed = declare(lib, INT, "SasShim_CountClosed", PTR)
 get_closed_end = declare(lib, TEXT, "SasShim_GetClosedEnd", PTR, INT)
 count_exchanges = declare(lib, INT, "SasShim_CountExchanges", PTR)
@@ -45,10 +46,10 @@
 
 HELD, ANSWERED, ABANDONED = range(3)
 HOLD, ANSWER, DRAIN, CLOSE = range(4)
-PIPELINE = 32  # SasHttpServer_MAX_PIPELINE
+MAX_PIPELINE = 32  # SasHttpServer_MAX_PIPELINE
 RECEIVE_BUFFER = 16384
-LARGE = 200000  # more than both sockets hold
-TURNS = 500  # at the end, for what must come
+LARGE = 200000  # bytes; more than both sockets buffer
+MAX_ITERATIONS = 500  # of the loop, in which all answers must arrive
 # header_bytes, body_bytes, bodies_bytes, header_ms, idle_ms
 LIMITS = (1000, 1000, 100000, 60000, 60000)
 SMALL_LIMITS = [(40, 1000, 100000, 60000, 60000),
@@ -65,7 +66,7 @@
 
 kinds = st.tuples(
     st.sampled_from(["GET", "GET", "GET", "HEAD", "length", "chunked"]),
-    st.sampled_from([False] * 9 + [True]))  # asks for the close
+    st.sampled_from([False] * 9 + [True]))  # with Connection: close
 answers = st.sampled_from(
     [(200, 3), (200, 3), (200, 0), (204, 0), (200, LARGE)])
 reactions = st.one_of(
@@ -121,24 +122,24 @@
         self.caller.connect(("127.0.0.1", get_port(self.rig)))
         self.caller.setblocking(False)
         self.caller.setsockopt(socket.IPPROTO_TCP, socket.TCP_NODELAY, 1)
-        self.requests, self.ends = [], []  # where each ends among the bytes
+        self.requests, self.ends = [], []  # and their end offsets
         self.outbox, self.sent = b"", 0
         self.got, self.answers = b"", []
         self.reading = True
-        self.ended = self.was_reset = False  # the connection, as it looks
+        self.ended = self.was_reset = False  # as the caller sees it
         self.left = False
         self.drains = self.limits_were_small = self.time_passed = False
         self.is_draining, self.answered_draining = False, set()
-        # Bytes that a server which has ended its side and waited may no
-        # longer take: they are answered by a reset.
-        self.may_be_ending = self.sent_late = False
-        self.given_by_then = 0
+        # Bytes sent when the server's lingering close may have timed out:
+        # they may be answered by a reset.
+        self.may_be_closing = self.sent_late = False
+        self.dispatched_before = 0  # requests, when may_be_closing was set
         self.whole_when_idle = 0  # whole requests when an idle limit passed
-        # Answers that wait for the caller to read, and since when.
+        # Bytes of answers that the caller doesn't read, and for how long.
         self.unsent = self.stalled_ms = 0
         self.is_too_slow = False
-        self.sound = True
-        turn_loop(self.rig)
+        self.checks_passed = True
+        run_loop(self.rig)
 
     # The caller.
 
@@ -156,7 +157,7 @@
             except (ConnectionResetError, BrokenPipeError):
                 self.was_reset = True
                 return
-            self.sent_late |= self.may_be_ending
+            self.sent_late |= self.may_be_closing
             self.sent += count
             self.outbox = self.outbox[count:]
             size -= count
@@ -174,7 +175,7 @@
             self.got += piece
             size -= len(piece)
         if self.ended:
-            # A reset behind the last byte looks like an end.
+            # A reset after the last byte looks like an end of the stream.
             self.was_reset |= self.caller.getsockopt(
                 socket.SOL_SOCKET, socket.SO_ERROR) != 0
 
@@ -234,7 +235,7 @@
     # The handler.
 
     def find_held(self):
-        return [i for i in range(count_given(self.rig))
+        return [i for i in range(count_dispatched(self.rig))
                 if get_state(self.rig, i) == HELD]
 
     def answer(self, i, status, size):
@@ -255,14 +256,14 @@
 
     @rule(reactions=st.lists(reactions, min_size=1, max_size=3))
     def react_at_once(self, reactions):
-        for deed, (status, number) in reactions:
-            self.drains |= deed == DRAIN
-            react(self.rig, deed, status, number)
+        for action, (status, number) in reactions:
+            self.drains |= action == DRAIN
+            queue_reaction(self.rig, action, status, number)
 
     @precondition(lambda self: self.fate == "closed")
     @rule()
     def close_in_a_request(self):
-        react(self.rig, CLOSE, 0, 0)
+        queue_reaction(self.rig, CLOSE, 0, 0)
 
     # The server.
 
@@ -288,32 +289,33 @@
         close_server(self.rig)
 
     @rule(count=st.integers(1, 4))
-    def turn(self, count):
+    def run_iterations(self, count):
         for _ in range(count):
-            self.turn_once()
+            self.run_once()
 
-    def turn_once(self):
-        turn_loop(self.rig)
+    def run_once(self):
+        run_loop(self.rig)
         if self.reading and not self.left:
             self.receive(10 * LARGE)
 
     @rule(ms=st.sampled_from([1, 300, 1000, 40000, 70000]),
-          turns=st.sampled_from([0, 3, 3]))
-    def wait(self, ms, turns):
+          iterations=st.sampled_from([0, 3, 3]))
+    def wait(self, ms, iterations):
         self.time_passed = True
         self.note_stall(ms)
-        lasts, whole = count_closed(self.rig) == 0, self.count_whole()
-        let_pass(self.rig, ms, turns)
-        if lasts and count_closed(self.rig) > 0 \
+        was_open, whole = count_closed(self.rig) == 0, self.count_whole_requests()
+        advance_time(self.rig, ms, iterations)
+        if was_open and count_closed(self.rig) > 0 \
                 and get_closed_end(self.rig, 0) == b"idle":
             self.whole_when_idle = whole
         if not self.find_held():
-            self.may_be_ending = True
-            self.sent_late |= turns == 0
-            self.given_by_then = count_given(self.rig)
+            self.may_be_closing = True
+            self.sent_late |= iterations == 0
+            self.dispatched_before = count_dispatched(self.rig)
 
     def note_stall(self, ms):
-        """No answer moves while time passes: the caller doesn't read then."""
+        """Adds up the time in which no byte of an answer is sent, because the
+        caller doesn't read."""
         unsent = count_unsent(self.rig)
         if unsent != self.unsent:
             self.unsent, self.stalled_ms = unsent, 0
@@ -321,10 +323,10 @@
             self.stalled_ms += ms
             self.is_too_slow |= 0 < self.idle_ms < self.stalled_ms
 
-    # What the caller got.
+    # What the caller received.
 
-    def take_answer(self):
-        """The next whole answer of what has arrived; None: not whole yet."""
+    def parse_answer(self):
+        """Removes the next answer from got; None: not whole yet."""
         head, whole, rest = self.got.partition(b"\r\n\r\n")
         if not whole:
             return None
@@ -332,7 +334,7 @@
         fields = dict(line.split(": ", 1) for line in lines[1:])
         status = int(lines[0].split(" ")[1])
         at = len(self.answers)
-        assert at < len(self.requests), "an answer to nothing"
+        assert at < len(self.requests), "an answer without a request"
         size = int(fields.get("Content-Length", 0))
         if status == 204 or self.requests[at].head:
             size = 0
@@ -342,32 +344,34 @@
         number = fields.get("X-Number")
         if number is not None:
             letter = b"%c" % (ord("a") + int(number) % 26)
-            assert rest[:size] == letter * size, "the body of another answer"
+            assert rest[:size] == letter * size, \
+                "the body of another request's answer"
         return Answer(status, number, fields.get("Connection") == "close")
 
-    def take_answers(self):
+    def parse_answers(self):
         while self.got:
-            assert not self.closes(), "bytes behind a closing answer"
-            answer = self.take_answer()
+            assert not self.closes(), "bytes after a closing answer"
+            answer = self.parse_answer()
             if answer is None:
                 return
             self.answers.append(answer)
-            self.judge_answer(len(self.answers) - 1, answer)
+            self.check_answer(len(self.answers) - 1, answer)
 
-    def judge_answer(self, at, answer):
+    def check_answer(self, at, answer):
         request = self.requests[at]
         if answer.number is None:
-            self.judge_refusal(request, answer)
+            self.check_refusal(request, answer)
             return
         assert answer.number == str(at), "answers out of order"
-        assert get_state(self.rig, at) == ANSWERED, "an answer nobody gave"
+        assert get_state(self.rig, at) == ANSWERED, \
+            "an answer that isn't the handler's"
         if request.asks_close:
-            assert answer.closes, "a wish for the close was not heard"
+            assert answer.closes, "Connection: close was ignored"
         assert request.asks_close or self.drains or not answer.closes, \
-            "a close without a cause"
+            "a closing answer without a cause"
 
-    def judge_refusal(self, request, answer):
-        assert answer.closes, "a refusal that doesn't close"
+    def check_refusal(self, request, answer):
+        assert answer.closes, "a refusal that doesn't close the connection"
         causes = []
         if request.malformed:
             causes += [400, 413, 431]
@@ -380,96 +384,101 @@
     def closes(self):
         return bool(self.answers) and self.answers[-1].closes
 
-    def count_whole(self):
+    def count_whole_requests(self):
         return sum(end <= self.sent for end in self.ends)
 
     def may_break(self):
-        """The connection may end at any byte."""
+        """Whether the connection may end at any byte."""
         return (self.left or self.is_too_slow or self.sent_late
                 or not is_open(self.rig))
 
     @invariant()
-    def hold_the_rules(self):
-        self.sound = False
-        self.take_answers()
-        self.check_given()
+    def check_all(self):
+        self.checks_passed = False
+        self.parse_answers()
+        self.check_dispatched()
         if is_open(self.rig):
             self.check_counts()
         if self.ended:
             self.check_end()
-        self.sound = True
-
-    def check_given(self):
-        given = count_given(self.rig)
-        if given > self.given_by_then:  # so it was not ending
-            self.may_be_ending = self.sent_late = False
-        assert given <= self.count_whole(), "given before it was whole"
-        for i in range(given):
-            assert get_target(self.rig, i) == b"/%d" % i, "given out of order"
+        self.checks_passed = True
+
+    def check_dispatched(self):
+        dispatched = count_dispatched(self.rig)
+        if dispatched > self.dispatched_before:  # so it wasn't closing
+            self.may_be_closing = self.sent_late = False
+        assert dispatched <= self.count_whole_requests(), \
+            "dispatched before it was whole"
+        for i in range(dispatched):
+            assert get_target(self.rig, i) == b"/%d" % i, \
+                "dispatched out of order"
             assert get_body(self.rig, i) == self.requests[i].body
             if get_state(self.rig, i) == ABANDONED:
                 end = get_end(self.rig, i)
                 assert (end == b"caller" and self.left) or (
                     end == b"server" and not is_open(self.rig)), \
-                    f"request {i} was cut off ({end.decode()})"
+                    f"request {i} was abandoned ({end.decode()})"
             asked = [r.asks_close for r in self.requests[:i]]
-            assert True not in asked, "given behind a wish for the close"
-        assert count_strays(self.rig) == 0, "abandoned, but not held"
-        assert count_late(self.rig) == 0, "given behind the server's close"
+            assert True not in asked, \
+                "dispatched after a request with Connection: close"
+        assert count_unknown_abandons(self.rig) == 0, "abandoned, but not held"
+        assert count_after_close(self.rig) == 0, \
+            "dispatched after the server's close"
         if self.closes():
             refused = self.answers[-1].number is None
-            assert given == len(self.answers) - refused, \
-                "given behind an answer that closes"
+            assert dispatched == len(self.answers) - refused, \
+                "dispatched after a closing answer"
 
     def check_counts(self):
-        """The counts are never below what is owed."""
+        """The counts are never below what is pending."""
         held = self.find_held()
-        owed = count_given(self.rig) - held[0] if held else 0
-        assert count_exchanges(self.rig) >= owed, "owed, but not counted"
-        if owed or count_unsent(self.rig) > 0:
-            assert count_busy(self.rig) == 1, "owed, but not busy"
-        if (self.closes() and not self.ended and not self.may_be_ending
+        pending = count_dispatched(self.rig) - held[0] if held else 0
+        assert count_exchanges(self.rig) >= pending, "pending, but not counted"
+        if pending or count_unsent(self.rig) > 0:
+            assert count_busy(self.rig) == 1, "pending, but not busy"
+        if (self.closes() and not self.ended and not self.may_be_closing
                 and not self.may_break()):
-            assert count_busy(self.rig) == 1, "the end is still owed"
+            assert count_busy(self.rig) == 1, \
+                "the caller hasn't closed, but not busy"
 
     def check_end(self):
         if (not self.closes() and not self.left
-                and len(self.answers) == count_given(self.rig)):
-            assert count_given(self.rig) >= self.whole_when_idle, \
-                "an idle limit cut off a request that had come"
+                and len(self.answers) == count_dispatched(self.rig)):
+            assert count_dispatched(self.rig) >= self.whole_when_idle, \
+                "an idle limit dropped a request that had arrived"
         if self.may_break():
             return
         assert not self.got, "half an answer"
         answered = sum(a.number is not None for a in self.answers)
-        assert answered == count_given(self.rig), \
-            "the end came before an answer"
+        assert answered == count_dispatched(self.rig), \
+            "the connection ended before an answer"
         if self.closes():
             assert not self.was_reset, "a closing answer was reset"
         else:
-            assert self.time_passed, "an end without a cause"
+            assert self.time_passed, "the connection ended without a cause"
 
-    # The end: all that is held is answered, and all that is owed must come.
+    # At the end all held requests are answered, and every answer must arrive.
 
     def teardown(self):
         if not hasattr(self, "rig"):
             return
-        sound, self.sound = self.sound, False
+        checks_passed, self.checks_passed = self.checks_passed, False
         try:
-            if sound:
+            if checks_passed:
                 self.finish()
         finally:
             self.caller.close()
             rc = free(self.rig)
-        assert rc == 0 or not sound, "a handle was left open"
+        assert rc == 0 or not checks_passed, "a handle was left open"
 
     def finish(self):
         if not is_open(self.rig):
-            assert not self.find_held(), "held behind the server's close"
+            assert not self.find_held(), "held after the server's close"
             return
         self.reading = True
-        self.turn_until(self.is_done)
-        self.hold_the_rules()
-        self.sound = False
+        self.run_until(self.is_done)
+        self.check_all()
+        self.checks_passed = False
         assert self.is_done(), "a request is neither answered nor refused"
         if not self.may_break():
             self.check_last_answer()
@@ -477,41 +486,41 @@
             self.caller.close()
             self.left = True
         if self.left:
-            self.turn_until(self.is_gone)
-            assert not self.find_held(), "held behind the caller's end"
-            assert self.is_gone(), "a connection that nobody ends"
+            self.run_until(self.is_closed)
+            assert not self.find_held(), "held after the caller's close"
+            assert self.is_closed(), "a connection that is never closed"
 
     def is_done(self):
         for i in self.find_held():
             self.answer(i, 200, 3)
-        self.take_answers()
+        self.parse_answers()
         return (self.left or self.ended or not is_open(self.rig)
                 or not self.closes()
-                and len(self.answers) >= self.count_whole())
+                and len(self.answers) >= self.count_whole_requests())
 
-    def is_gone(self):
+    def is_closed(self):
         held = self.find_held()
-        begun = count_given(self.rig) + (self.sent not in self.ends)
-        if held and begun - held[0] >= PIPELINE:
+        begun = count_dispatched(self.rig) + (self.sent not in self.ends)
+        if held and begun - held[0] >= MAX_PIPELINE:
             self.answer(held[0], 200, 3)  # reading waits for an answer
         if is_open(self.rig):
-            let_pass(self.rig, 1000, 1)
+            advance_time(self.rig, 1000, 1)
         return not is_open(self.rig) or count_connections(self.rig) == 0
 
-    def turn_until(self, is_reached):
-        for i in range(TURNS):
+    def run_until(self, is_reached):
+        for i in range(MAX_ITERATIONS):
             if is_reached():
                 return
-            self.turn_once()
+            self.run_once()
             if i > 100:
                 time.sleep(0.001)
 
     def check_last_answer(self):
-        """What a drain finds without an answer ends the connection, unless
-        a piece of a further request has come."""
+        """A last answer sent during a drain closes the connection, unless a
+        part of a further request has arrived."""
         last = len(self.answers) - 1
         if last in self.answered_draining and self.sent in self.ends:
-            assert self.closes(), "a drain that leaves a connection open"
+            assert self.closes(), "a drain left the connection open"
 
 
 TestConnections = Connections.TestCase
