--- a/packages/proto/generate.sh
+++ b/packages/proto/generate.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Writes the XDR code of the .x files anew (rpcgen, package rpcsvc-proto).
+# Regenerates the XDR code of the .x files with rpcgen (package rpcsvc-proto).
 set -eu
 cd "$(dirname "$0")"
 for name in peer_rpc mesh; do
--- a/packages/proto/include/sas/tag.h
+++ b/packages/proto/include/sas/tag.h
@@ -1,8 +1,9 @@
-/* tag - proofs that bytes come from an entry VM that has the shared key.
+/* tag - authentication tags: prove that bytes come from an entry VM that has
+ * the shared key.
  *
- * A tag is the hex form of HMAC-SHA-256 over a nonce and the bytes. The nonce
- * is SasTag_NONCE_SIZE - 1 characters that the asking side has drawn: an
- * answer with a tag over it is fresh.
+ * A tag is the hex form of HMAC-SHA-256 over a nonce and the bytes. The
+ * requesting side draws the nonce, SasTag_NONCE_SIZE - 1 characters, so a
+ * response with a tag over that nonce can't be a replay.
  */
 #ifndef SAS_TAG_H
 #define SAS_TAG_H
@@ -13,17 +14,20 @@
 
 #include "sas/proto.h"
 
+/* Buffer sizes, with the NUL. */
 #define SasTag_SIZE (2 * SasProto_MAC_SIZE + 1)
 #define SasTag_NONCE_SIZE (SAS_RPC_NONCE_SIZE + 1)
 
+/* Draws a nonce of hex digits. */
 void SasTag_DrawNonce(GRand *random, char nonce[SasTag_NONCE_SIZE]);
 
-/* False if OpenSSL fails. */
+/* Computes a tag; false if OpenSSL fails. Characters of the nonce beyond
+ * SAS_RPC_NONCE_SIZE are ignored. */
 bool SasTag_Make(struct sas_proto_key *key, const char *nonce,
                  const void *bytes, size_t size, char tag[SasTag_SIZE]);
 
-/* The time that it takes tells nothing of where a wrong tag differs. NULL
- * texts are wrong ones. */
+/* Verifies a tag in constant time: the time doesn't depend on where a wrong
+ * tag differs. False if nonce or tag is NULL. */
 bool SasTag_Check(struct sas_proto_key *key, const char *nonce,
                   const void *bytes, size_t size, const char *tag);
 
--- a/packages/proto/mesh.x
+++ b/packages/proto/mesh.x
@@ -1,7 +1,8 @@
-/* mesh - the datagrams between entry VMs that find each other at run time.
- * packages/proto/generate.sh turns it into include/sas/generated/mesh.h and
- * src/generated/mesh_xdr.c. Every list and text has a bound, so that the
- * decoder never allocates more than that.
+/* mesh - UDP datagrams of entry VMs that discover each other at run time:
+ * gossip, and reports on backend servers and requests.
+ * packages/proto/generate.sh generates include/sas/generated/mesh.h and
+ * src/generated/mesh_xdr.c from this file. Every list and string has a bound,
+ * so that the decoder never allocates more than that.
  */
 
 const SAS_MESH_FORMAT = 3;
@@ -10,9 +11,9 @@
 const SAS_MESH_MAX_SUSPECTS = 8;
 const SAS_MESH_MAX_LOSSES = 8;
 const SAS_MESH_MAX_TABLES = 4;
-const SAS_MESH_MAX_TEXT = 47;
+const SAS_MESH_MAX_TEXT = 47; /* bytes of a string */
 
-/* The sender: enough for a receiver that has never heard of it. */
+/* Describes the sender; enough for a receiver to add it as a new member. */
 struct sas_mesh_vm {
     string name<SAS_MESH_MAX_TEXT>;
     string zone<SAS_MESH_MAX_TEXT>;
@@ -20,13 +21,15 @@
     unsigned int caller_port;
     unsigned int peer_port;
     unsigned hyper incarnation;
-    unsigned int strength; /* requests a second that it can carry */
-    unsigned hyper sheet_version; /* the highest that it knows of */
-    /* The newest change that it has of each table that all follow. */
+    unsigned int strength; /* its capacity, requests/s */
+    unsigned hyper sheet_version; /* highest operators' sheet it knows of */
+    /* Newest version that it has of each table that all entry VMs follow. */
     unsigned hyper changes<SAS_MESH_MAX_TABLES>;
 };
 
-/* What the sender knows of an entry VM, itself included. */
+/* Gossip: what the sender knows of an entry VM, itself included. doubt is the
+ * suspicion: a heartbeat above it refutes it; 0: not suspected. age_ms is the
+ * age of the heartbeat. */
 struct sas_mesh_news {
     unsigned hyper name_hash;
     unsigned hyper incarnation;
@@ -37,17 +40,18 @@
     bool leaving;
 };
 
-/* The sender has stopped sending to a backend server for so long, because
- * it failed, fell silent or is slow; 0: it is well again. */
+/* The sender has ejected a backend server for left_ms, because it failed, was
+ * unresponsive or is slow; left_ms 0: the server has recovered. */
 struct sas_mesh_trip {
     unsigned hyper server_hash;
     unsigned int left_ms;
-    bool restarted; /* well again, and had not taken connections */
-    bool grey;      /* no trip: it fails part of its requests */
+    bool restarted; /* recovered after it refused connections */
+    bool grey;      /* no ejection: a grey failure, marked for left_ms */
 };
 
-/* A request, by its fingerprint, was running when a backend server crashed;
- * survived: it has since run to a whole answer, and crash says nothing. */
+/* A suspected poison request, by its fingerprint: it was running when a
+ * backend server crashed. alone: nothing else ran on that server. survived:
+ * it has since run to a complete response; crash and alone are not used. */
 struct sas_mesh_suspect {
     unsigned hyper high;
     unsigned hyper low;
@@ -56,35 +60,37 @@
     bool survived;
 };
 
-/* Requests that a backend server failed for the sender, and those that it
- * answered since the sender's last such row. */
+/* Failure report for the prober of a backend server: how many requests of the
+ * sender the server failed and answered since the sender's last report. */
 struct sas_mesh_loss {
     unsigned hyper server_hash;
     unsigned int failed;
     unsigned int answered;
 };
 
-/* A crash that the sender knows of, of a request that is suspected of several;
- * cleared: it was no crash, or the request has run to a whole answer since. */
+/* A crash that the sender knows of, of a suspected poison request. cleared: it
+ * was no crash, or the request has run to a complete response since. */
 struct sas_mesh_record {
     unsigned hyper high;
     unsigned hyper low;
     unsigned hyper crash;
     bool alone;
     bool cleared;
-    unsigned int age_ms; /* of the last crash of the request */
+    unsigned int age_ms; /* since the last crash of the request */
 };
 
-/* Behind the message; one that doesn't know it stops reading before it. */
+/* Follows the message. An older process that doesn't know it stops reading
+ * before it, and sends none. */
 struct sas_mesh_trailer {
-    unsigned hyper records_digest; /* of all that the sender has; 0: none */
+    unsigned hyper records_digest; /* of all the sender's records; 0: none */
     sas_mesh_record records<SAS_MESH_MAX_SUSPECTS>;
 };
 
-/* With a shared key SAS_MESH_MAC_SIZE bytes of HMAC-SHA-256 follow. */
+/* With a shared key, SasProto_MAC_SIZE bytes of HMAC-SHA-256 over message and
+ * trailer end the datagram. */
 struct sas_mesh_message {
     unsigned int format;
-    unsigned hyper sent_ms; /* wall clock; an old one is not taken again */
+    unsigned hyper sent_ms; /* wall clock; with a key, old ones are refused */
     bool wants_reply;
     sas_mesh_vm sender;
     sas_mesh_news news<SAS_MESH_MAX_NEWS>;
--- a/packages/proto/peer_rpc.x
+++ b/packages/proto/peer_rpc.x
@@ -1,7 +1,9 @@
-/* peer_rpc - the calls between entry VMs (ONC RPC, RFC 5531). tools of
- * rpcsvc-proto turn it into include/sas/generated/peer_rpc.h and
- * src/generated/peer_rpc_xdr.c; packages/proto/generate.sh does it. Every
- * list has a bound, so that the decoder never allocates more than that.
+/* peer_rpc - calls between the entry VMs of a fixed fleet (ONC RPC, RFC 5531).
+ * packages/proto/generate.sh generates include/sas/generated/peer_rpc.h and
+ * src/generated/peer_rpc_xdr.c from this file. Every list has a bound, so
+ * that the decoder never allocates more than that.
+ *
+ * A seat is the member id of an entry VM: its index in the settings.
  */
 
 const SAS_RPC_NONCE_SIZE = 16;
@@ -14,8 +16,8 @@
 const SAS_RPC_MAX_BACKENDS = 512;
 const SAS_RPC_MAX_CONFIG = 229376;
 
-/* Who sends to whom; the verifier of every call and every reply. The
- * receiver's incarnation is 0 only in a HELLO call. */
+/* Sender and receiver; the verifier of every call and reply holds it. The
+ * receiver's incarnation is 0 only in a HELLO call, which doesn't know it. */
 struct sas_rpc_identity {
     unsigned int sender;
     unsigned hyper sender_incarnation;
@@ -23,7 +25,7 @@
     unsigned hyper receiver_incarnation;
 };
 
-/* First call on every connection: both sides add a nonce of their own. */
+/* First call on every connection; each side sends a nonce of its own. */
 struct sas_rpc_hello {
     opaque nonce[SAS_RPC_NONCE_SIZE];
 };
@@ -33,7 +35,9 @@
     SAS_RPC_LEAVING = 1
 };
 
-/* What the sender knows of a seat, itself included. */
+/* What the sender knows of a member, itself included. doubt is the suspicion:
+ * a heartbeat above it refutes it; 0: not suspected. age_ms is the age of the
+ * heartbeat. */
 struct sas_rpc_seat {
     unsigned int seat;
     sas_rpc_state state;
@@ -46,11 +50,11 @@
 
 struct sas_rpc_budget {
     unsigned hyper id;
-    unsigned hyper unused;
-    hyper epoch; /* announced; -1 while recovering */
+    unsigned hyper unused; /* units that the sender could lend: a hint */
+    hyper epoch; /* of its floors, as announced; -1 while recovering */
 };
 
-/* Load of a backend server as probed; the incarnation is a hash. */
+/* Last reported load of a backend server; the incarnation is hashed. */
 struct sas_rpc_load {
     unsigned int backend;
     unsigned int running;
@@ -60,13 +64,16 @@
     unsigned hyper incarnation;
 };
 
+/* alone: nothing else ran on the server. cleared: it was no crash, or the
+ * request has run to a complete response since. */
 struct sas_rpc_crash {
     unsigned hyper id;
     bool alone;
     bool cleared;
 };
 
-/* A request that crashes backend servers, by its fingerprint. */
+/* A suspected poison request, by its fingerprint. Times are remaining ms: of
+ * the entry, and of an isolated run. */
 struct sas_rpc_quarantine {
     unsigned hyper high;
     unsigned hyper low;
@@ -75,7 +82,7 @@
     unsigned int trial_ms;
 };
 
-/* A share that the sender has in force, in millionths. */
+/* Share of a shift that the sender has in force, in millionths. */
 struct sas_rpc_share {
     unsigned int service;
     unsigned int from;
@@ -100,16 +107,16 @@
     unsigned hyper have_version;
 };
 
-/* number 0: nothing newer than what the caller has. base 0: the bytes are
- * the whole configuration; otherwise a delta to that number. */
+/* number 0: nothing newer than have_version. bytes is the whole configuration
+ * as JSON. base is reserved for deltas and always 0. */
 struct sas_rpc_config {
     unsigned hyper number;
     unsigned hyper base;
     opaque bytes<SAS_RPC_MAX_CONFIG>;
 };
 
-/* renewal 0: a new loan of up to the wanted units; otherwise the number of
- * this renewal of the loan, of which the wanted units are left. */
+/* renewal 0: asks for a new loan of up to the wanted units. Otherwise it is
+ * the sequence number of a renewal, and wanted the units left of the loan. */
 struct sas_rpc_borrow {
     unsigned hyper budget;
     unsigned hyper epoch;
@@ -120,7 +127,7 @@
 
 struct sas_rpc_grant {
     unsigned hyper loan;
-    unsigned hyper granted;
+    unsigned hyper granted; /* units; of a renewal 1 or 0 */
 };
 
 struct sas_rpc_return {
@@ -130,8 +137,9 @@
     unsigned hyper units;
 };
 
-/* A restarted lender asks for which budgets no loan of its earlier process
- * is held; the reply has those rows. */
+/* A lender that recovers after a restart sends its budgets. The reply has the
+ * rows of those of which the receiver holds no loan of the lender's earlier
+ * process. */
 struct sas_rpc_disown {
     unsigned hyper budget;
     unsigned int incarnation;
@@ -150,7 +158,8 @@
     unsigned hyper incarnation;
 };
 
-/* The seat that is leaving, or SAS_RPC_NO_SEAT, and backend servers. */
+/* The member that is leaving, or SAS_RPC_NO_SEAT, and the backend servers
+ * that are leaving. */
 const SAS_RPC_NO_SEAT = 0xffffffff;
 
 struct sas_rpc_leaving {
--- a/packages/proto/src/proto.c
+++ b/packages/proto/src/proto.c
@@ -9,23 +9,24 @@
 #include "sas/record.h"
 
 #define AUTH_FLAVOR ((enum_t)0x20534153) /* verifier with an identity */
-#define HEADER_ROOM 128
+/* Sizes in bytes. */
+#define MAX_HEADER 128
 #define IDENTITY_SIZE 24
-#define MAX_BODY (SasProto_MAX_RECORD - HEADER_ROOM - SasProto_MAC_SIZE)
+#define MAX_BODY (SasProto_MAX_RECORD - MAX_HEADER - SasProto_MAC_SIZE)
 
 struct sas_proto_key {
     EVP_MAC *mac;
-    EVP_MAC_CTX *keyed; /* copied for each digest */
+    EVP_MAC_CTX *keyed; /* HMAC context with the key; copied for each HMAC */
 };
 
-/* One row for each procedure. */
+/* Name and XDR codecs of a procedure. */
 struct procedure {
     const char *name;
     xdrproc_t arguments;
     xdrproc_t results;
 };
 
-static bool_t code_nothing(XDR *xdr, void *object);
+static bool_t code_void(XDR *xdr, void *object);
 
 static const struct procedure procedures[] = {
     [SAS_RPC_HELLO] = {"hello", (xdrproc_t)xdr_sas_rpc_hello,
@@ -37,12 +38,12 @@
     [SAS_RPC_BORROW] = {"borrow", (xdrproc_t)xdr_sas_rpc_borrow,
                         (xdrproc_t)xdr_sas_rpc_grant},
     [SAS_RPC_RETURN] = {"return", (xdrproc_t)xdr_sas_rpc_return,
-                        (xdrproc_t)code_nothing},
+                        (xdrproc_t)code_void},
     [SAS_RPC_QUARANTINE] = {"quarantine",
                             (xdrproc_t)xdr_sas_rpc_quarantine_list,
-                            (xdrproc_t)code_nothing},
+                            (xdrproc_t)code_void},
     [SAS_RPC_LEAVE] = {"leave", (xdrproc_t)xdr_sas_rpc_leaving,
-                       (xdrproc_t)code_nothing},
+                       (xdrproc_t)code_void},
     [SAS_RPC_DISOWN] = {"disown", (xdrproc_t)xdr_sas_rpc_disown_list,
                         (xdrproc_t)xdr_sas_rpc_disown_list},
 };
@@ -124,21 +125,21 @@
 {
     struct sas_proto_message copy = *message;
     if (!is_procedure(copy.procedure)) {
-        SasError_Set(error, SAS_EINVAL, "proto.encode", "", "no procedure %u",
-                     copy.procedure);
+        SasError_Set(error, SAS_EINVAL, "proto.encode", "",
+                     "unknown procedure %u", copy.procedure);
         return NULL;
     }
     xdrproc_t codec = get_body_codec(&copy);
-    size_t room = xdr_sizeof(codec, &copy.body);
-    if (room > MAX_BODY) {
+    size_t encoded_size = xdr_sizeof(codec, &copy.body);
+    if (encoded_size > MAX_BODY) {
         SasError_Set(error, SAS_ECAPACITY, "proto.encode", "",
                      "a %s message of %zu bytes is too long",
-                     SasProto_GetName(copy.procedure), room);
+                     SasProto_GetName(copy.procedure), encoded_size);
         return NULL;
     }
-    g_autofree uint8_t *bytes = g_malloc(room + 1);
+    g_autofree uint8_t *bytes = g_malloc(encoded_size + 1);
     XDR xdr;
-    xdrmem_create(&xdr, (char *)bytes, (u_int)room, XDR_ENCODE);
+    xdrmem_create(&xdr, (char *)bytes, (u_int)encoded_size, XDR_ENCODE);
     if (!codec(&xdr, &copy.body)) {
         SasError_Set(error, SAS_EINVAL, "proto.encode", "",
                      "a list of the %s message exceeds its bound",
@@ -172,13 +173,13 @@
                      "a body of %zu bytes is too long", body_size);
         return NULL;
     }
-    g_autofree uint8_t *record = g_malloc(SasRecord_MARK_SIZE + HEADER_ROOM +
+    g_autofree uint8_t *record = g_malloc(SasRecord_MARK_SIZE + MAX_HEADER +
                                           body_size + SasProto_MAC_SIZE);
     uint8_t *bytes = record + SasRecord_MARK_SIZE;
     char verifier[MAX_AUTH_BYTES];
     u_int verifier_size = IDENTITY_SIZE;
     XDR xdr;
-    xdrmem_create(&xdr, (char *)bytes, HEADER_ROOM, XDR_ENCODE);
+    xdrmem_create(&xdr, (char *)bytes, MAX_HEADER, XDR_ENCODE);
     if (!code_identity(verifier, IDENTITY_SIZE, XDR_ENCODE, &copy.identity) ||
         !code_header(&xdr, &copy, verifier, &verifier_size)) {
         SasError_Set(error, SAS_EINVAL, "proto.encode", "",
@@ -192,7 +193,7 @@
     length += body_size;
     if (!SasProto_Sign(key, session, bytes, length, bytes + length)) {
         SasError_Set(error, SAS_EUNAVAILABLE, "proto.encode", "",
-                     "OpenSSL can't compute the digest");
+                     "OpenSSL can't compute the HMAC");
         return NULL;
     }
     SasRecord_PutMark(record, length + SasProto_MAC_SIZE);
@@ -210,14 +211,14 @@
     memset(message, 0, sizeof(*message));
     if (size < SasProto_MAC_SIZE || size > SasProto_MAX_RECORD) {
         SasError_Set(error, SAS_EINVAL, "proto.open", "",
-                     "a record of %zu bytes", size);
+                     "invalid record size: %zu bytes", size);
         return -1;
     }
     size_t length = size - SasProto_MAC_SIZE;
     if (!SasProto_Sign(key, session, record, length, mac) ||
         CRYPTO_memcmp(mac, record + length, SasProto_MAC_SIZE) != 0) {
         SasError_Set(error, SAS_EAUTH, "proto.open", "",
-                     "the digest of a record is wrong");
+                     "the HMAC of a record does not match");
         return -1;
     }
     char verifier[MAX_AUTH_BYTES];
@@ -264,13 +265,14 @@
     if (got->sender != expected->sender ||
         got->sender_incarnation != expected->sender_incarnation) {
         SasError_Set(error, SAS_EAUTH, "proto.identity", "",
-                     "sent by seat %u in another incarnation", got->sender);
+                     "unexpected sender or incarnation: member %u",
+                     got->sender);
         return -1;
     }
     if (got->receiver != expected->receiver ||
         got->receiver_incarnation != expected->receiver_incarnation) {
         SasError_Set(error, SAS_EAUTH, "proto.identity", "",
-                     "meant for seat %u in another incarnation",
+                     "unexpected receiver or incarnation: member %u",
                      got->receiver);
         return -1;
     }
@@ -285,8 +287,8 @@
         return 0;
     }
     if (!is_procedure(message->procedure)) {
-        SasError_Set(error, SAS_EINVAL, "proto.decode", "", "no procedure %u",
-                     message->procedure);
+        SasError_Set(error, SAS_EINVAL, "proto.decode", "",
+                     "unknown procedure %u", message->procedure);
         return -1;
     }
     XDR xdr;
@@ -321,7 +323,7 @@
 /* Helpers */
 
 static bool_t
-code_nothing(XDR *xdr, void *object)
+code_void(XDR *xdr, void *object)
 {
     (void)xdr;
     (void)object;
@@ -341,8 +343,8 @@
     return message->is_reply ? row->results : row->arguments;
 }
 
-/* Encodes or decodes the RPC header; the verifier's bytes stand in a buffer
- * of MAX_AUTH_BYTES, so that libtirpc allocates none. */
+/* Encodes or decodes the RPC header. The verifier is a buffer of
+ * MAX_AUTH_BYTES, so that libtirpc allocates none. */
 static bool
 code_header(XDR *xdr, struct sas_proto_message *message, char *verifier,
             u_int *verifier_size)
@@ -403,7 +405,7 @@
     header.acpted_rply.ar_verf.oa_base = verifier;
     header.acpted_rply.ar_verf.oa_length = *verifier_size;
     header.acpted_rply.ar_stat = message->status;
-    header.acpted_rply.ar_results.proc = (xdrproc_t)code_nothing;
+    header.acpted_rply.ar_results.proc = (xdrproc_t)code_void;
     if (!xdr_replymsg(xdr, &header)) {
         return false;
     }
--- a/packages/proto/src/record.c
+++ b/packages/proto/src/record.c
@@ -5,7 +5,7 @@
 #include <string.h>
 
 #define LAST_FRAGMENT 0x80000000u
-#define FIRST_CAPACITY 512
+#define INITIAL_CAPACITY 512 /* bytes */
 
 static int start_fragment(struct sas_record_reader *reader);
 static void append(struct sas_record_reader *reader, const uint8_t *data,
@@ -60,7 +60,7 @@
             continue;
         }
         reader->mark_size = 0;
-        if (reader->last) {
+        if (reader->is_last_fragment) {
             reader->complete = 1;
             *used = at;
             return 1;
@@ -77,9 +77,9 @@
     memcpy(mark, &word, sizeof(word));
 }
 
-/* Guards against a claimed length that would fill the memory, and against a
- * flood of empty fragments, which would cost time and never end a record:
- * both are refused at the mark. */
+/* Refuses at the mark a claimed length that would exhaust memory, and too
+ * many fragments: empty ones would cost CPU time and never complete a
+ * record. */
 static int
 start_fragment(struct sas_record_reader *reader)
 {
@@ -94,7 +94,7 @@
         return -1;
     }
     reader->fragment_left = length;
-    reader->last = (word & LAST_FRAGMENT) != 0;
+    reader->is_last_fragment = (word & LAST_FRAGMENT) != 0;
     return 0;
 }
 
@@ -105,7 +105,7 @@
         return;
     }
     if (reader->size + size > reader->capacity) {
-        size_t capacity = MAX(reader->capacity, FIRST_CAPACITY);
+        size_t capacity = MAX(reader->capacity, INITIAL_CAPACITY);
         while (capacity < reader->size + size) {
             capacity *= 2;
         }
