--- a/packages/ctl/src/client.c
+++ b/packages/ctl/src/client.c
@@ -12,14 +12,14 @@
     "ABCDEFGHIJKLMNOPQRSTUVWXYZabcdefghijklmnopqrstuvwxyz0123456789._-"
 #define MAX_CALL_HEADERS 6
 
-/* What one node's answer, or its absence, says about a call. */
-enum verdict {
-    SETTLED,  /* the answer stands */
-    NOT_DONE, /* it had no effect there */
-    UNKNOWN   /* it may have had */
+/* Outcome of a call at one node. */
+enum outcome {
+    CONCLUSIVE, /* the response answers the call */
+    NO_EFFECT,  /* it failed without effect */
+    UNKNOWN     /* it failed and may have taken effect */
 };
 
-static enum verdict call_node(const struct sas_client *client,
+static enum outcome call_node(const struct sas_client *client,
                               const struct sas_address *node,
                               const struct sas_call *call,
                               struct sas_http_response *response,
@@ -69,10 +69,10 @@
            text[length] == '\0';
 }
 
-/* Names the failure of one node; a person then sees which nodes to look at,
- * also when the next one answers. */
+/* Prints the failure of one node, also when the next node answers: operators
+ * see which nodes to check. */
 static void
-report(const struct sas_error *error)
+print_failure(const struct sas_error *error)
 {
     fprintf(stderr, "sassafrassillctl: %s: %s\n", error->peer, error->text);
 }
@@ -86,20 +86,20 @@
         const struct sas_address *node =
             &g_array_index(client->nodes, struct sas_address, i);
         struct sas_error failure = {.code = SAS_OK};
-        enum verdict verdict =
+        enum outcome outcome =
             call_node(client, node, call, response, &failure);
-        if (verdict == SETTLED && (!unknown || response->status == 200)) {
+        if (outcome == CONCLUSIVE && (!unknown || response->status == 200)) {
             return 0;
         }
-        if (verdict == SETTLED) {
-            /* An earlier node may have carried out what this one refuses: a
-             * conflict, for one, may be with a version that came after ours.
-             * So the refusal says nothing about the operation. */
+        if (outcome == CONCLUSIVE) {
+            /* An earlier node may have carried out the operation that this
+             * one refuses: a conflict can be with a version that came after
+             * it. So the refusal doesn't tell the operation's outcome. */
             SasHttp_FreeResponse(response);
             break;
         }
-        unknown = unknown || verdict == UNKNOWN;
-        report(&failure);
+        unknown = unknown || outcome == UNKNOWN;
+        print_failure(&failure);
     }
     if (unknown) {
         SasError_Set(error, SAS_ETIMEOUT, STEP, "",
@@ -123,9 +123,9 @@
     return count + 1;
 }
 
-/* True when a node says of itself that a write changed nothing. */
+/* True when the response of a node states that a write had no effect. */
 static bool
-says_nothing_changed(const struct sas_http_response *response)
+reports_no_effect(const struct sas_http_response *response)
 {
     const char *outcome = SasHttp_GetHeader(response, "Sas-Outcome");
     if (outcome != NULL) {
@@ -139,18 +139,18 @@
     return unchanged;
 }
 
-/* What a 5xx means for a call. */
-static enum verdict
-judge_server_error(const struct sas_call *call,
-                   const struct sas_http_response *response)
+/* The outcome of a call that got a 5xx response. */
+static enum outcome
+classify_server_error(const struct sas_call *call,
+                      const struct sas_http_response *response)
 {
-    if (call->operation == NULL || says_nothing_changed(response)) {
-        return NOT_DONE;
+    if (call->operation == NULL || reports_no_effect(response)) {
+        return NO_EFFECT;
     }
     return UNKNOWN;
 }
 
-static enum verdict
+static enum outcome
 call_node(const struct sas_client *client, const struct sas_address *node,
           const struct sas_call *call, struct sas_http_response *response,
           struct sas_error *error)
@@ -181,14 +181,14 @@
     if (SasHttp_Fetch(node, &request, timeout_ms, response, error) != 0) {
         g_strlcpy(error->peer, peer, sizeof(error->peer));
         bool sent = error->code != SAS_EUNAVAILABLE;
-        return sent && call->operation != NULL ? UNKNOWN : NOT_DONE;
+        return sent && call->operation != NULL ? UNKNOWN : NO_EFFECT;
     }
     if (response->status < 500) {
-        return SETTLED;
+        return CONCLUSIVE;
     }
-    enum verdict verdict = judge_server_error(call, response);
-    SasError_Set(error, SAS_EUNAVAILABLE, STEP, peer, "answered %d %.100s",
+    enum outcome outcome = classify_server_error(call, response);
+    SasError_Set(error, SAS_EUNAVAILABLE, STEP, peer, "status %d: %.100s",
                  response->status, response->body);
     SasHttp_FreeResponse(response);
-    return verdict;
+    return outcome;
 }
--- a/packages/ctl/src/commands.c
+++ b/packages/ctl/src/commands.c
@@ -9,14 +9,14 @@
 #include "views.h"
 
 #define POLL_INTERVAL_MS 200
-/* A poll gets this long, also the last one: with what is left of the wait it
- * could end before a healthy node can answer. */
+/* Timeout of each poll at each node, also of the last poll: the remaining wait
+ * could be too short for a healthy node to answer. */
 #define POLL_TIMEOUT_MS 5000
 
 struct command {
-    const char *words[2]; /* the second may be NULL */
-    bool argument;        /* one more word follows */
-    bool writes;          /* takes --operation, --if-version and --wait */
+    const char *keywords[2]; /* the second may be NULL */
+    bool argument;           /* one more word follows */
+    bool writes;             /* takes --operation, --if-version and --wait */
     enum sas_exit (*run)(const struct sas_command_options *options,
                          const char *argument);
 };
@@ -40,7 +40,6 @@
                  const char *version);
 static enum sas_exit show_counters(const struct sas_command_options *options,
                                    const char *unused);
-
 static enum sas_exit show_views(const struct sas_command_options *options,
                                 const char *unused);
 static enum sas_exit show_owners(const struct sas_command_options *options,
@@ -60,10 +59,10 @@
     {{"owners", NULL}, true, false, show_owners},
 };
 
-static void complain(const char *format, ...)
+static void print_error(const char *format, ...)
     __attribute__((format(printf, 1, 2)));
 
-/* Releases an answer when it goes out of scope. */
+/* Cleanup functions of AUTO_RESPONSE and AUTO_JSON. */
 static void
 clear_response(struct sas_http_response *response)
 {
@@ -84,12 +83,13 @@
 {
     for (size_t i = 0; i < G_N_ELEMENTS(commands); i++) {
         const struct command *command = &commands[i];
-        int own_words = command->words[1] == NULL ? 1 : 2;
-        if (word_count < own_words ||
-            strcmp(words[0], command->words[0]) != 0) {
+        int keyword_count = command->keywords[1] == NULL ? 1 : 2;
+        if (word_count < keyword_count ||
+            strcmp(words[0], command->keywords[0]) != 0) {
             continue;
         }
-        if (own_words == 1 || strcmp(words[1], command->words[1]) == 0) {
+        if (keyword_count == 1 ||
+            strcmp(words[1], command->keywords[1]) == 0) {
             return command;
         }
     }
@@ -102,33 +102,35 @@
 {
     const struct command *command = find_command(words, word_count);
     if (command == NULL) {
-        complain("no such command; see --help");
+        print_error("no such command; see --help");
         return SasExit_USAGE;
     }
-    int own_words = command->words[1] == NULL ? 1 : 2;
-    if (word_count != own_words + (command->argument ? 1 : 0)) {
-        complain("%s %s; see --help", words[0],
-                 command->argument ? "takes one argument"
-                                   : "takes no argument");
+    int keyword_count = command->keywords[1] == NULL ? 1 : 2;
+    if (word_count != keyword_count + (command->argument ? 1 : 0)) {
+        print_error("%s %s; see --help", words[0],
+                    command->argument ? "takes one argument"
+                                      : "takes no argument");
         return SasExit_USAGE;
     }
     bool write_options = options->operation != NULL ||
                          options->if_version != NULL || options->wait_s >= 0;
     if (write_options && !command->writes) {
-        complain("--operation, --if-version and --wait go with sheet put and "
-                 "drain only");
+        print_error(
+            "--operation, --if-version and --wait go with sheet put and "
+            "drain only");
         return SasExit_USAGE;
     }
     if (options->operation != NULL && !SasClient_IsName(options->operation)) {
-        complain("--operation must be 1 to %d of A-Z a-z 0-9 . _ -",
-                 SasClient_MAX_NAME_LENGTH);
+        print_error("--operation must be 1 to %d of A-Z a-z 0-9 . _ -",
+                    SasClient_MAX_NAME_LENGTH);
         return SasExit_USAGE;
     }
-    return command->run(options, command->argument ? words[own_words] : NULL);
+    return command->run(options,
+                        command->argument ? words[keyword_count] : NULL);
 }
 
 static void
-complain(const char *format, ...)
+print_error(const char *format, ...)
 {
     va_list arguments;
     va_start(arguments, format);
@@ -144,7 +146,7 @@
     return text == NULL ? "" : text;
 }
 
-/* A field of an answer, safe to show on a terminal; free with g_free. */
+/* A field of a response, safe to print on a terminal; g_free releases it. */
 static char *
 format_field(const json_t *object, const char *key)
 {
@@ -152,7 +154,7 @@
     return SasPrint_FormatCell(json_object_get(object, key), &column);
 }
 
-/* The object in an answer's body, or NULL. */
+/* The JSON object in the body of a response, or NULL. */
 static json_t *
 parse_body(const struct sas_http_response *response)
 {
@@ -164,17 +166,18 @@
     return body;
 }
 
-/* Says that a call failed, and where --json is given prints it too. */
+/* Prints a failed call to stderr and, with --json, as JSON to stdout. */
 static enum sas_exit
-fail_call(const struct sas_command_options *options,
-          const struct sas_error *error, const char *operation)
+report_failed_call(const struct sas_command_options *options,
+                   const struct sas_error *error, const char *operation)
 {
     bool unknown = error->code == SAS_ETIMEOUT;
-    complain("%s", error->text);
+    print_error("%s", error->text);
     if (unknown) {
-        complain("repeat it with --operation %s, which is harmless, or ask "
-                 "with: sassafrassillctl operation %s",
-                 operation, operation);
+        print_error(
+            "retry with --operation %s, which is safe, or query it with: "
+            "sassafrassillctl operation %s",
+            operation, operation);
     }
     if (options->json) {
         json_t *object =
@@ -188,10 +191,10 @@
     return unknown ? SasExit_UNKNOWN : SasExit_UNREACHABLE;
 }
 
-/* Explains an answer other than 200, in one line for each kind. */
+/* Prints the reason of a response other than 200. */
 static enum sas_exit
-refuse(const struct sas_command_options *options,
-       const struct sas_http_response *response)
+report_refusal(const struct sas_command_options *options,
+               const struct sas_http_response *response)
 {
     AUTO_JSON json_t *body = parse_body(response);
     if (options->json && body != NULL) {
@@ -200,29 +203,29 @@
     g_autofree char *reason = format_field(body, "reason");
     g_autofree char *text = format_field(body, "text");
     if (response->status == 401) {
-        complain("the node did not accept the token (--token-file)");
+        print_error("the node did not accept the token (--token-file)");
         return SasExit_USAGE;
     }
     if (response->status == 409) {
         g_autofree char *version = format_field(body, "version");
         g_autofree char *operation = format_field(body, "operation");
         g_autofree char *operator_name = format_field(body, "operator");
-        complain("conflict: version %s (operation %s, operator %s) came "
-                 "first; look at it with sheet show, then try again",
-                 version, operation, operator_name);
+        print_error("conflict: version %s (operation %s, operator %s) was "
+                    "accepted first; read it with sheet show, then try again",
+                    version, operation, operator_name);
         return SasExit_REFUSED;
     }
     if (response->status == 422) {
         g_autofree char *row = format_field(body, "row");
         g_autofree char *column = format_field(body, "column");
-        complain("refused: row %s, column %s: %s", row, column, text);
+        print_error("refused: row %s, column %s: %s", row, column, text);
         return SasExit_REFUSED;
     }
-    complain("refused: %d %s: %s", response->status, reason, text);
+    print_error("refused: %d %s: %s", response->status, reason, text);
     return SasExit_REFUSED;
 }
 
-/* Reads a target; SasExit_DONE only with an answer 200 in *response. */
+/* Makes a GET call; SasExit_DONE only with status 200 in *response. */
 static enum sas_exit
 fetch(const struct sas_command_options *options, const char *target,
       struct sas_http_response *response)
@@ -230,12 +233,13 @@
     struct sas_error error = {.code = SAS_OK};
     struct sas_call call = {.method = "GET", .target = target};
     if (SasClient_Call(&options->client, &call, response, &error) != 0) {
-        return fail_call(options, &error, NULL);
+        return report_failed_call(options, &error, NULL);
     }
-    return response->status == 200 ? SasExit_DONE : refuse(options, response);
+    return response->status == 200 ? SasExit_DONE
+                                   : report_refusal(options, response);
 }
 
-/* The same for an answer that must be a JSON object. */
+/* Makes a GET call whose response must be a JSON object. */
 static enum sas_exit
 fetch_json(const struct sas_command_options *options, const char *target,
            json_t **body)
@@ -247,13 +251,13 @@
     }
     *body = parse_body(&response);
     if (*body == NULL) {
-        complain("the answer to %s is not JSON", target);
+        print_error("the response to %s is not a JSON object", target);
         return SasExit_UNREACHABLE;
     }
     return SasExit_DONE;
 }
 
-/* The sheet in a file, or NULL after a complaint. */
+/* The sheet in a file; NULL after an error was printed. */
 static char *
 read_sheet(const char *path)
 {
@@ -261,11 +265,11 @@
     gsize size = 0;
     g_autoptr(GError) error = NULL;
     if (!g_file_get_contents(path, &text, &size, &error)) {
-        complain("%s", error->message);
+        print_error("%s", error->message);
         return NULL;
     }
     if (strlen(text) != size) {
-        complain("%s: not a text file", path);
+        print_error("%s: not a text file", path);
         g_free(text);
         return NULL;
     }
@@ -284,10 +288,10 @@
     struct sas_call call = {
         .method = "PUT", .target = "/v1/sheet?dry_run=1", .body = sheet};
     if (SasClient_Call(&options->client, &call, &response, &error) != 0) {
-        return fail_call(options, &error, NULL);
+        return report_failed_call(options, &error, NULL);
     }
     if (response.status != 200) {
-        return refuse(options, &response);
+        return report_refusal(options, &response);
     }
     AUTO_JSON json_t *body = parse_body(&response);
     if (options->json && body != NULL) {
@@ -299,11 +303,12 @@
     return SasExit_DONE;
 }
 
-/* Asks what became of an operation whose answers were lost. SasExit_DONE
- * with its version, SasExit_REFUSED when it lost, else SasExit_UNKNOWN. */
+/* Queries an operation whose outcome is unknown. SasExit_DONE: it is in force,
+ * *body has its version; SasExit_REFUSED: another version was accepted
+ * instead; else SasExit_UNKNOWN. */
 static enum sas_exit
-settle(const struct sas_command_options *options, const char *operation,
-       json_t **body)
+query_operation(const struct sas_command_options *options,
+                const char *operation, json_t **body)
 {
     g_autofree char *target = g_strconcat("/v1/operations/", operation, NULL);
     AUTO_RESPONSE struct sas_http_response response = {0};
@@ -320,7 +325,7 @@
     return strcmp(state, "lost") == 0 ? SasExit_REFUSED : SasExit_UNKNOWN;
 }
 
-/* Says that the operation is accepted, and waits for it where asked to. */
+/* Prints that the operation is accepted; with --wait, waits for it. */
 static enum sas_exit
 report_accepted(const struct sas_command_options *options, const json_t *body)
 {
@@ -335,12 +340,12 @@
     if (options->wait_s < 0) {
         return SasExit_DONE;
     }
-    struct sas_command_options waiting = *options;
-    waiting.timeout_s = options->wait_s;
-    return wait_for_version(&waiting, version);
+    struct sas_command_options wait_options = *options;
+    wait_options.timeout_s = options->wait_s;
+    return wait_for_version(&wait_options, version);
 }
 
-/* Makes a new version by this call and reports what became of it. */
+/* Makes a call that creates a version, and reports its outcome. */
 static enum sas_exit
 write_version(const struct sas_command_options *options, struct sas_call *call)
 {
@@ -358,26 +363,27 @@
     struct sas_error error = {.code = SAS_OK};
     if (SasClient_Call(&options->client, call, &response, &error) == 0) {
         if (response.status != 200) {
-            return refuse(options, &response);
+            return report_refusal(options, &response);
         }
         body = parse_body(&response);
         if (body != NULL) {
             return report_accepted(options, body);
         }
         SasError_Set(&error, SAS_ETIMEOUT, "admin.call", "",
-                     "the answer to operation %s is not JSON", operation);
+                     "the response to operation %s is not a JSON object",
+                     operation);
     }
     if (error.code != SAS_ETIMEOUT) {
-        return fail_call(options, &error, operation);
+        return report_failed_call(options, &error, operation);
     }
-    enum sas_exit status = settle(options, operation, &body);
+    enum sas_exit status = query_operation(options, operation, &body);
     if (status == SasExit_DONE) {
         return report_accepted(options, body);
     }
     if (status == SasExit_UNKNOWN) {
-        return fail_call(options, &error, operation);
+        return report_failed_call(options, &error, operation);
     }
-    complain("conflict: operation %s lost against another one", operation);
+    print_error("conflict: operation %s lost against another one", operation);
     if (options->json) {
         SasPrint_Json(body);
     }
@@ -418,8 +424,8 @@
         fwrite(response.body, 1, response.body_size, stdout);
         return SasExit_DONE;
     }
-    const char *tag = SasHttp_GetHeader(&response, "ETag");
-    const char *digits = tag == NULL ? "" : tag + strspn(tag, "W/\"");
+    const char *etag = SasHttp_GetHeader(&response, "ETag");
+    const char *digits = etag == NULL ? "" : etag + strspn(etag, "W/\"");
     g_autofree char *sheet =
         g_utf8_make_valid(response.body, (gssize)response.body_size);
     AUTO_JSON json_t *object = json_pack(
@@ -521,7 +527,7 @@
                const char *operation)
 {
     if (!SasClient_IsName(operation)) {
-        complain("not an operation id: \"%s\"", operation);
+        print_error("not an operation id: \"%s\"", operation);
         return SasExit_USAGE;
     }
     g_autofree char *target = g_strconcat("/v1/operations/", operation, NULL);
@@ -551,8 +557,8 @@
     return json_integer_value(json_object_get(node, "version")) >= version;
 }
 
-/* The nodes of a status that do not have the version in force yet, the one
- * that answered included. */
+/* The nodes in a status response that don't have the version in force yet,
+ * including the node that responded. */
 static json_t *
 list_lagging(const json_t *status, json_int_t version)
 {
@@ -603,7 +609,7 @@
     SasPrint_Table(NULL, lagging, columns, G_N_ELEMENTS(columns));
 }
 
-/* The status as JSON; NULL when no node gave it. */
+/* The status as JSON; NULL, with *status set, when no node returned it. */
 static json_t *
 poll_status(const struct sas_command_options *options, enum sas_exit *status)
 {
@@ -618,7 +624,7 @@
         return NULL;
     }
     if (response.status != 200) {
-        *status = refuse(options, &response);
+        *status = report_refusal(options, &response);
         return NULL;
     }
     return parse_body(&response);
@@ -631,7 +637,7 @@
     guint64 version;
     if (!g_ascii_string_to_unsigned(version_text, 10, 1, G_MAXINT64, &version,
                                     NULL)) {
-        complain("not a version: \"%s\"", version_text);
+        print_error("not a version: \"%s\"", version_text);
         return SasExit_USAGE;
     }
     int64_t end_us =
@@ -654,15 +660,17 @@
         g_usleep(POLL_INTERVAL_MS * 1000);
     }
     if (lagging == NULL) {
-        complain("no node answered; where version %s is in force is unknown",
-                 version_text);
+        print_error(
+            "no node answered; where version %s is in force is unknown",
+            version_text);
         return SasExit_UNREACHABLE;
     }
     report_wait(options, (json_int_t)version, lagging);
     return json_array_size(lagging) == 0 ? SasExit_DONE : SasExit_TIMEOUT;
 }
 
-/* The text exposition format as one JSON object, "name{label}" to number. */
+/* Converts the Prometheus text format to a JSON object, "name{label}" to
+ * number. */
 static json_t *
 parse_counters(const char *text)
 {
@@ -698,8 +706,8 @@
     return SasExit_DONE;
 }
 
-/* Entry VMs that learn everything at run time: each node is asked, since what
- * matters is where they differ. */
+/* The view of one node; NULL on failure. Each node gets its own call, because
+ * the views are compared. No token is sent: /v1/view needs none. */
 static json_t *
 fetch_view(const struct sas_command_options *options, guint node,
            const char *target)
@@ -714,7 +722,7 @@
     struct sas_error error = {0};
     json_t *view = NULL;
     if (SasClient_Call(&one, &call, &response, &error) != 0) {
-        complain("%s: %s", error.peer, error.text);
+        print_error("%s: %s", error.peer, error.text);
     }
     else if (response.status == 200) {
         view = json_loads(response.body, 0, NULL);
@@ -755,7 +763,7 @@
 {
     const char *slash = strchr(object, '/');
     if (slash == NULL || slash == object || slash[1] == '\0') {
-        complain("owners takes SERVICE/OBJECT");
+        print_error("owners takes SERVICE/OBJECT");
         return SasExit_USAGE;
     }
     g_autofree char *service = g_strndup(object, (gsize)(slash - object));
--- a/packages/ctl/src/main.c
+++ b/packages/ctl/src/main.c
@@ -14,28 +14,28 @@
     "Operates a sassafrassill deployment through the admin API of its nodes.\n"
     "\n"
     "Commands:\n"
-    "  sheet check FILE   say whether the sheet would be accepted\n"
+    "  sheet check FILE   check whether the sheet would be accepted\n"
     "  sheet put FILE     put the sheet in force\n"
     "  sheet show         print the sheet in force\n"
     "  history            list the versions\n"
-    "  status             show one node, and its peers as last heard\n"
-    "  drain NAME         let a backend server or an entry VM leave\n"
-    "  operation ID       say what became of an operation\n"
+    "  status             show one node and the last state of its peers\n"
+    "  drain NAME         drain a backend server or an entry VM\n"
+    "  operation ID       show the outcome of an operation\n"
     "  wait VERSION       wait until every node has the version in force\n"
     "  counters           print the counters of one node\n"
-    "  views              what the nodes believe, and where they differ\n"
+    "  views              show the views of all nodes and how they differ\n"
     "  owners SERVICE/OBJECT  the same, with the object's backend servers\n"
     "\n"
-    "views and owners ask the ready address of entry VMs on the platform.";
+    "views and owners call the ready address of entry VMs in platform mode.";
 
 static const char description[] =
     "Exit statuses:\n"
     "  0  done\n"
-    "  1  refused: a bad sheet, a conflict, no such thing; views differ\n"
+    "  1  refused: bad sheet, conflict or not found; or views differ\n"
     "  2  wrong options, files or token\n"
     "  3  no node answered; nothing was changed\n"
-    "  4  the outcome is unknown; repeat it with the same --operation, or\n"
-    "     ask with the command operation\n"
+    "  4  the outcome is unknown; retry with the same --operation, or query\n"
+    "     it with the command operation\n"
     "  5  timed out waiting; the version itself is accepted\n"
     "\n"
     "Examples:\n"
@@ -57,7 +57,7 @@
 };
 
 static int
-complain(const char *text)
+print_usage_error(const char *text)
 {
     fprintf(stderr, "sassafrassillctl: %s\n", text);
     return SasExit_USAGE;
@@ -68,23 +68,23 @@
 {
     const GOptionEntry entries[] = {
         {"node", 'n', 0, G_OPTION_ARG_STRING_ARRAY, &arguments->nodes,
-         "admin address of a node; repeat it, and the next one is tried when "
-         "one does not answer (" DEFAULT_NODE ")",
+         "admin address of a node; if given more than once, the next one is "
+         "tried when one does not answer (" DEFAULT_NODE ")",
          "IP:PORT"},
         {"token-file", 't', 0, G_OPTION_ARG_FILENAME, &arguments->token_file,
          "file with the admin token", "FILE"},
         {"operator", 0, 0, G_OPTION_ARG_STRING, &arguments->operator_name,
-         "who gives the order, kept with it (the login name)", "NAME"},
+         "who gives the order, recorded with it (the login name)", "NAME"},
         {"json", 'j', 0, G_OPTION_ARG_NONE, &arguments->json,
          "print JSON, for scripts", NULL},
         {"operation", 0, 0, G_OPTION_ARG_STRING, &arguments->operation,
-         "sheet put, drain: the operation id (a new one); repeating an "
-         "operation is harmless",
+         "sheet put, drain: the operation id (a new one); a retry with the "
+         "same id is safe",
          "ID"},
         {"if-version", 0, 0, G_OPTION_ARG_STRING, &arguments->if_version,
          "sheet put, drain: only if this version is still in force", "N"},
         {"wait", 0, 0, G_OPTION_ARG_INT, &arguments->wait_s,
-         "sheet put, drain: then wait until it is in force everywhere",
+         "sheet put, drain: longest wait until it is in force everywhere",
          "SECONDS"},
         {"timeout", 0, 0, G_OPTION_ARG_INT, &arguments->timeout_s,
          "wait: the longest wait (30)", "SECONDS"},
@@ -110,8 +110,8 @@
     g_free(arguments->if_version);
 }
 
-/* Who gives the order when nobody says it: the login name, in the characters
- * that the admin API takes. */
+/* The default of --operator: the login name, with '_' for each character that
+ * the admin API refuses. */
 static char *
 get_login_name(void)
 {
@@ -186,7 +186,7 @@
                                  (int)g_strv_length(arguments->words));
     }
     else {
-        complain(error.text);
+        print_usage_error(error.text);
     }
     SasSecret_Free(options.client.token);
     SasClient_Clear(&options.client);
@@ -196,18 +196,19 @@
 int
 main(int argc, char **argv)
 {
-    /* Names may be UTF-8; numbers keep their decimal points. */
+    /* Arguments may be UTF-8; LC_NUMERIC stays "C": decimal points. */
     setlocale(LC_CTYPE, "");
     struct arguments arguments = {.wait_s = -1,
                                   .timeout_s = DEFAULT_TIMEOUT_S};
     g_autoptr(GError) error = NULL;
     int status;
     if (!parse(&arguments, argc, argv, &error)) {
-        status = complain(error->message);
+        status = print_usage_error(error->message);
     }
     else {
         const char *problem = check(&arguments);
-        status = problem != NULL ? complain(problem) : run(&arguments);
+        status =
+            problem != NULL ? print_usage_error(problem) : run(&arguments);
     }
     clear(&arguments);
     return status;
--- a/packages/ctl/src/print.c
+++ b/packages/ctl/src/print.c
@@ -5,7 +5,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#define COLUMN_GAP 2
+#define COLUMN_GAP 2 /* spaces */
 
 static char *format_value(const json_t *value,
                           const struct sas_column *column);
@@ -30,7 +30,7 @@
     return text;
 }
 
-/* Width on the screen, one column a character. */
+/* Width on the screen: one column for each character. */
 static int
 get_width(const char *text)
 {
@@ -49,7 +49,7 @@
     }
 }
 
-/* The cells row by row, the titles first. */
+/* Formats the cells row by row, the titles first. */
 static GPtrArray *
 format_cells(const json_t *rows, const struct sas_column *columns,
              int column_count)
--- a/packages/ctl/src/views.c
+++ b/packages/ctl/src/views.c
@@ -21,7 +21,7 @@
     return json_integer_value(json_object_get(object, name));
 }
 
-/* The state that a view has of one thing; NULL where it knows none. */
+/* The state of an entry in a list of a view; "unknown" if it isn't listed. */
 static const char *
 find_state(const json_t *view, const char *list, const char *key,
            const char *name)
@@ -37,10 +37,10 @@
     return "unknown";
 }
 
-/* Adds a row when the views don't all say the same of the thing. */
+/* Adds a difference if the state of the entry isn't the same in all views. */
 static void
-compare_thing(const json_t *views, const char *list, const char *key,
-              const char *name, json_t *found)
+compare_entry(const json_t *views, const char *list, const char *key,
+              const char *name, json_t *differences)
 {
     json_t *states = json_object();
     bool differs = false;
@@ -55,7 +55,7 @@
         json_object_set_new(states, get_text(view, "vm"), json_string(state));
     }
     if (differs) {
-        json_array_append_new(found,
+        json_array_append_new(differences,
                               json_pack("{s:s, s:s, s:O}", "what", list,
                                         "name", name, "states", states));
     }
@@ -64,7 +64,7 @@
 
 static void
 compare_list(const json_t *views, const char *list, const char *key,
-             json_t *found)
+             json_t *differences)
 {
     g_autoptr(GHashTable) seen =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, NULL);
@@ -78,14 +78,14 @@
         {
             const char *name = get_text(row, key);
             if (g_hash_table_add(seen, g_strdup(name))) {
-                compare_thing(views, list, key, name, found);
+                compare_entry(views, list, key, name, differences);
             }
         }
     }
 }
 
 static void
-compare_versions(const json_t *views, json_t *found)
+compare_versions(const json_t *views, json_t *differences)
 {
     json_t *states = json_object();
     bool differs = false;
@@ -103,7 +103,7 @@
         json_object_set_new(states, get_text(view, "vm"), json_string(text));
     }
     if (differs) {
-        json_array_append_new(found,
+        json_array_append_new(differences,
                               json_pack("{s:s, s:s, s:O}", "what", "config",
                                         "name", "version", "states", states));
     }
@@ -113,11 +113,11 @@
 json_t *
 SasViews_Compare(const json_t *views)
 {
-    json_t *found = json_array();
-    compare_versions(views, found);
-    compare_list(views, "servers", "id", found);
-    compare_list(views, "vms", "name", found);
-    return found;
+    json_t *differences = json_array();
+    compare_versions(views, differences);
+    compare_list(views, "servers", "id", differences);
+    compare_list(views, "vms", "name", differences);
+    return differences;
 }
 
 static json_t *
@@ -144,12 +144,12 @@
 }
 
 static void
-print_differences(const json_t *found)
+print_differences(const json_t *differences)
 {
     json_t *rows = json_array();
     size_t i;
     const json_t *row;
-    json_array_foreach(found, i, row)
+    json_array_foreach(differences, i, row)
     {
         const char *vm;
         json_t *state;
@@ -193,9 +193,9 @@
     };
     SasPrint_Table(NULL, rows, columns, G_N_ELEMENTS(columns));
     json_decref(rows);
-    json_t *found = SasViews_Compare(views);
-    print_differences(found);
-    int count = (int)json_array_size(found);
-    json_decref(found);
+    json_t *differences = SasViews_Compare(views);
+    print_differences(differences);
+    int count = (int)json_array_size(differences);
+    json_decref(differences);
     return count;
 }
--- a/packages/ctl/src/views.h
+++ b/packages/ctl/src/views.h
@@ -1,21 +1,21 @@
-/* views - what several entry VMs believe, side by side.
+/* views - compares the views of several entry VMs.
  *
- * Each view is the JSON of an entry VM's /v1/view. Two of them differ in the
- * configuration's version, in which backend servers there are and what state
- * they are in, and in which entry VMs live. Small differences are normal for
- * a second or two; the ages say how old each belief is.
+ * A view is the JSON of an entry VM's /v1/view. Compared are the version of
+ * the configuration, the backend servers and the entry VMs, each with its
+ * state. Views normally differ for a second or two after a change; AGE is how
+ * long ago an entry VM applied its configuration.
  */
 #ifndef SAS_CTL_VIEWS_H
 #define SAS_CTL_VIEWS_H
 
 #include <jansson.h>
 
-/* Prints a line for each view and a table of the differences; the number of
- * differences. views: array of views. */
+/* Prints one row for each view of the array and a table of the differences;
+ * returns the number of differences. */
 int SasViews_Print(const json_t *views);
 
-/* The differences, as an array of objects with what, name, and a member for
- * each entry VM. */
+/* Returns the differences: an array of {"what", "name", "states"}, where
+ * states maps the name of each entry VM to the state that it reports. */
 json_t *SasViews_Compare(const json_t *views);
 
 #endif
