--- a/packages/proto/fuzz/fuzz_proto.c
+++ b/packages/proto/fuzz/fuzz_proto.c
@@ -6,8 +6,8 @@
 #include "sas/proto.h"
 #include "sas/record.h"
 
-#define SAS_FUZZ_RECORD_LIMIT 4096
-#define DIRECTION_BIT 0x80
+#define SAS_FUZZ_RECORD_LIMIT 4096 /* bytes */
+#define REPLY_BIT 0x80
 
 static const struct sas_proto_session session;
 
@@ -66,11 +66,11 @@
 }
 
 static void
-decode_body(uint8_t choice, const uint8_t *data, size_t size)
+decode_body(uint8_t selector, const uint8_t *data, size_t size)
 {
     struct sas_proto_message message = {
-        .is_reply = (choice & DIRECTION_BIT) != 0,
-        .procedure = choice & ~(unsigned)DIRECTION_BIT,
+        .is_reply = (selector & REPLY_BIT) != 0,
+        .procedure = selector & ~(unsigned)REPLY_BIT,
         .encoded_body = data,
         .encoded_size = size,
     };
--- a/packages/proto/fuzz/fuzz_proto.h
+++ b/packages/proto/fuzz/fuzz_proto.h
@@ -1,8 +1,10 @@
-/* fuzz_proto - one fuzzer input through the decoders.
+/* fuzz_proto - runs one fuzzer input through the decoders.
  *
- * The first byte chooses: 0 a stream for the record reader, 1 a message
- * whose digest is right, otherwise a body; the second byte is the procedure
- * of a reply, or procedure and direction of a body.
+ * The first byte selects the target: 0: a byte stream for the record reader;
+ * 1: a message, to which a valid HMAC is added; otherwise a message body. For
+ * a message the second byte is the procedure, used if it is a reply; for a
+ * body it is the procedure, with the top bit set for a reply. Inputs of less
+ * than two bytes are ignored.
  */
 #ifndef SAS_FUZZ_PROTO_H
 #define SAS_FUZZ_PROTO_H
--- a/packages/proto/tests/samples.h
+++ b/packages/proto/tests/samples.h
@@ -1,4 +1,4 @@
-/* samples - one filled-in message of each procedure and direction. */
+/* samples - one valid message of each procedure and direction. */
 #ifndef SAS_SAMPLES_H
 #define SAS_SAMPLES_H
 
@@ -6,7 +6,8 @@
 
 #define SAMPLE_COUNT 16
 
-/* Sample `index`; the lists it points to are static. */
+/* Returns sample `index`; the call of a procedure is followed by its reply.
+ * The lists that it points to are static. */
 struct sas_proto_message Sample_Get(int index);
 
 #endif
--- a/packages/proto/tests/test_fuzz_corpus.c
+++ b/packages/proto/tests/test_fuzz_corpus.c
@@ -1,5 +1,5 @@
-/* Feeds the committed inputs of the fuzzer to its target, so that what it
- * found once stays found without it. */
+/* Regression test: runs the committed inputs of the fuzzer through its target,
+ * so that faults found once are caught without the fuzzer. */
 #include <setjmp.h>
 #include <stdarg.h>
 #include <stddef.h>
@@ -8,7 +8,7 @@
 
 #include "../fuzz/fuzz_proto.h"
 
-#define FEWEST_INPUTS 42 /* the seeds: each sample in three forms */
+#define MIN_INPUTS 42 /* the seeds: samples 0 to 13 in three forms each */
 
 static void
 test_committed_inputs(void **state)
@@ -28,7 +28,7 @@
         count++;
     }
     g_dir_close(folder);
-    assert_true(count >= FEWEST_INPUTS);
+    assert_true(count >= MIN_INPUTS);
 }
 
 int
--- a/packages/proto/tests/test_mesh.c
+++ b/packages/proto/tests/test_mesh.c
@@ -10,7 +10,7 @@
 
 #include "sas/generated/mesh.h"
 
-#define SIZE 1400
+#define MAX_DATAGRAM 1400 /* bytes */
 
 static u_int
 encode(char *bytes)
@@ -28,7 +28,7 @@
         .trips = {.trips_len = 1, .trips_val = &trip},
     };
     XDR xdr;
-    xdrmem_create(&xdr, bytes, SIZE, XDR_ENCODE);
+    xdrmem_create(&xdr, bytes, MAX_DATAGRAM, XDR_ENCODE);
     assert_true(xdr_sas_mesh_message(&xdr, &message));
     u_int size = xdr_getpos(&xdr);
     xdr_destroy(&xdr);
@@ -53,10 +53,10 @@
 }
 
 static void
-test_a_message_comes_back_as_it_was(void **state)
+test_message_round_trip(void **state)
 {
     (void)state;
-    char bytes[SIZE];
+    char bytes[MAX_DATAGRAM];
     u_int size = encode(bytes);
     sas_mesh_message message;
     assert_true(decode(bytes, size, &message));
@@ -67,18 +67,18 @@
     release(&message);
 }
 
-/* Anybody may send a datagram to the port. Whatever is in it, decoding takes
- * no more memory than the bounds of the format and never reads beyond it; the
- * sanitizers of the second test run watch that. */
+/* Any process may send a datagram to the port. Decoding a truncated or
+ * corrupted one must allocate no more than the bounds of the format and never
+ * read beyond its end; the test run with sanitizers checks that. */
 static void
-test_broken_messages_do_no_harm(void **state)
+test_corrupted_messages_stay_within_bounds(void **state)
 {
     (void)state;
     GRand *random = g_rand_new_with_seed(20);
-    char whole[SIZE];
+    char whole[MAX_DATAGRAM];
     u_int size = encode(whole);
     for (int i = 0; i < 20000; i++) {
-        char bytes[SIZE];
+        char bytes[MAX_DATAGRAM];
         memcpy(bytes, whole, size);
         u_int cut = (u_int)g_rand_int_range(random, 0, (gint32)size + 1);
         int flips = g_rand_int_range(random, 0, 8);
@@ -101,8 +101,8 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_a_message_comes_back_as_it_was),
-        cmocka_unit_test(test_broken_messages_do_no_harm),
+        cmocka_unit_test(test_message_round_trip),
+        cmocka_unit_test(test_corrupted_messages_stay_within_bounds),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/proto/tests/test_proto.c
+++ b/packages/proto/tests/test_proto.c
@@ -30,7 +30,7 @@
     return 0;
 }
 
-/* The record of a message without its mark. */
+/* Encodes the record of a message without its mark. */
 static uint8_t *
 encode(const struct sas_proto_message *message, size_t *size)
 {
@@ -49,8 +49,8 @@
     return SasProto_Open(key, &session, bytes, size, message, error);
 }
 
-/* Opens a message with this body, which need not be a valid one, and
- * decodes it. */
+/* Puts a body, valid or not, into a message with the header of `like`, then
+ * opens and decodes it. */
 static int
 decode_body(const struct sas_proto_message *like, const uint8_t *body,
             size_t body_size)
@@ -96,7 +96,7 @@
 }
 
 static void
-test_fields_arrive(void **state)
+test_gossip_fields(void **state)
 {
     (void)state;
     struct sas_proto_message sample = Sample_Get(2);
@@ -115,17 +115,17 @@
 }
 
 static void
-test_a_refusal_has_no_body(void **state)
+test_error_reply_has_no_body(void **state)
 {
     (void)state;
-    struct sas_proto_message refusal = {
+    struct sas_proto_message error_reply = {
         .xid = 9,
         .is_reply = true,
         .procedure = SAS_RPC_BORROW,
         .status = PROC_UNAVAIL,
     };
     size_t size;
-    g_autofree uint8_t *bytes = encode(&refusal, &size);
+    g_autofree uint8_t *bytes = encode(&error_reply, &size);
     struct sas_proto_message got;
     assert_int_equal(open_record(bytes, size, &got, NULL), 0);
     assert_int_equal(got.status, PROC_UNAVAIL);
@@ -155,7 +155,7 @@
 }
 
 static void
-test_bytes_behind_the_body_are_refused(void **state)
+test_trailing_bytes_are_refused(void **state)
 {
     (void)state;
     struct sas_proto_message sample = Sample_Get(6);
@@ -167,9 +167,8 @@
     assert_int_equal(decode_body(&sample, longer, size + 4), -1);
 }
 
-/* Every single changed bit of a record is noticed. */
 static void
-test_a_changed_bit_is_noticed(void **state)
+test_every_bit_flip_is_detected(void **state)
 {
     (void)state;
     struct sas_proto_message sample = Sample_Get(6);
@@ -211,7 +210,7 @@
 }
 
 static void
-test_identity_has_to_match(void **state)
+test_identity_mismatch_is_refused(void **state)
 {
     (void)state;
     struct sas_proto_message sample = Sample_Get(6);
@@ -259,9 +258,10 @@
     assert_true(size <= SasProto_MAX_RECORD);
 }
 
-/* The longest gossip fits what an accepted connection may send. */
+/* A gossip call whose longest lists are full must fit the limit of an accepted
+ * connection, and a HELLO call the limit before HELLO has succeeded. */
 static void
-test_every_call_fits_its_limit(void **state)
+test_longest_calls_fit_the_record_limits(void **state)
 {
     (void)state;
     struct sas_proto_message call = Sample_Get(2);
@@ -311,15 +311,15 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_round_trips),
-        cmocka_unit_test(test_fields_arrive),
-        cmocka_unit_test(test_a_refusal_has_no_body),
+        cmocka_unit_test(test_gossip_fields),
+        cmocka_unit_test(test_error_reply_has_no_body),
         cmocka_unit_test(test_truncation_at_every_byte),
-        cmocka_unit_test(test_bytes_behind_the_body_are_refused),
-        cmocka_unit_test(test_a_changed_bit_is_noticed),
+        cmocka_unit_test(test_trailing_bytes_are_refused),
+        cmocka_unit_test(test_every_bit_flip_is_detected),
         cmocka_unit_test(test_wrong_key_or_session),
-        cmocka_unit_test(test_identity_has_to_match),
+        cmocka_unit_test(test_identity_mismatch_is_refused),
         cmocka_unit_test(test_lists_are_bounded),
-        cmocka_unit_test(test_every_call_fits_its_limit),
+        cmocka_unit_test(test_longest_calls_fit_the_record_limits),
         cmocka_unit_test(test_random_bytes),
     };
     return cmocka_run_group_tests(tests, set_up, tear_down);
--- a/packages/proto/tests/test_record.c
+++ b/packages/proto/tests/test_record.c
@@ -6,13 +6,14 @@
 
 #include "sas/record.h"
 
-#define LIMIT 100
+#define LIMIT 100 /* bytes */
 
 /* Two records, the second in two fragments. */
 static const uint8_t stream[] = {0x80, 0,   0,    2, 'a', 'b', 0,   0,  0,
                                  1,    'c', 0x80, 0, 0,   2,   'd', 'e'};
 
-/* Feeds in pieces of `piece` bytes; counts and checks the records. */
+/* Feeds the stream in pieces of `piece` bytes; checks and counts its
+ * records. */
 static int
 feed_in_pieces(size_t piece)
 {
@@ -39,7 +40,7 @@
 }
 
 static void
-test_pieces_of_any_size(void **state)
+test_stream_split_at_any_size(void **state)
 {
     (void)state;
     for (size_t piece = 1; piece <= sizeof(stream); piece++) {
@@ -58,7 +59,7 @@
 }
 
 static void
-test_length_is_refused_at_the_mark(void **state)
+test_long_fragment_is_refused_at_the_mark(void **state)
 {
     (void)state;
     struct sas_record_reader reader;
@@ -75,7 +76,7 @@
 }
 
 static void
-test_fragments_together_are_bounded(void **state)
+test_total_length_of_fragments_is_limited(void **state)
 {
     (void)state;
     uint8_t bytes[60] = {0};
@@ -89,7 +90,7 @@
 }
 
 static void
-test_empty_fragments_come_to_an_end(void **state)
+test_number_of_empty_fragments_is_limited(void **state)
 {
     (void)state;
     struct sas_record_reader reader;
@@ -102,7 +103,7 @@
 }
 
 static void
-test_an_empty_record(void **state)
+test_empty_record(void **state)
 {
     (void)state;
     struct sas_record_reader reader;
@@ -116,11 +117,11 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_pieces_of_any_size),
-        cmocka_unit_test(test_length_is_refused_at_the_mark),
-        cmocka_unit_test(test_fragments_together_are_bounded),
-        cmocka_unit_test(test_empty_fragments_come_to_an_end),
-        cmocka_unit_test(test_an_empty_record),
+        cmocka_unit_test(test_stream_split_at_any_size),
+        cmocka_unit_test(test_long_fragment_is_refused_at_the_mark),
+        cmocka_unit_test(test_total_length_of_fragments_is_limited),
+        cmocka_unit_test(test_number_of_empty_fragments_is_limited),
+        cmocka_unit_test(test_empty_record),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
--- a/packages/proto/tests/test_tag.c
+++ b/packages/proto/tests/test_tag.c
@@ -17,7 +17,7 @@
 }
 
 static void
-test_a_tag_holds_for_its_key_nonce_and_bytes_alone(void **state)
+test_tag_depends_on_key_nonce_and_bytes(void **state)
 {
     (void)state;
     struct sas_proto_key *key = make_key("sixteen-characters");
@@ -55,7 +55,7 @@
 main(void)
 {
     const struct CMUnitTest tests[] = {
-        cmocka_unit_test(test_a_tag_holds_for_its_key_nonce_and_bytes_alone),
+        cmocka_unit_test(test_tag_depends_on_key_nonce_and_bytes),
         cmocka_unit_test(test_nonces_differ),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
