--- a/packages/ctl/tests/test_ctl.py
+++ b/packages/ctl/tests/test_ctl.py
@@ -1,5 +1,5 @@
-"""sassafrassillctl against a small fake of the admin API: its options, its
-tables and JSON, and above all its exit statuses."""
+"""Runs sassafrassillctl against fake nodes with a scripted admin API; checks
+its options, tables, JSON and exit statuses."""
 
 import json
 import os
@@ -17,9 +17,9 @@
 
 
 class Node:
-    """One fake admin port. Each call takes the next scripted answer for its
-    method and path, the last one for ever; "cut" closes the connection once
-    the request was read."""
+    """A fake admin port. Each call gets the next scripted answer for its path;
+    the last answer repeats. "reset" closes the connection after the request
+    was read, without an answer."""
 
     def __init__(self, **answers):
         self.calls = []
@@ -40,7 +40,7 @@
                 if script is None:
                     script = [(404, {"reason": "not-found", "text": "-"})]
                 step = script.pop(0) if len(script) > 1 else script[0]
-                if step == "cut":
+                if step == "reset":
                     self.close_connection = True
                     return
                 status, content, *headers = step
@@ -106,11 +106,11 @@
         return node
 
     def dead_address(self):
-        """An address that refuses connections: bound, but not listening."""
-        holder = socket.socket()
-        self.addCleanup(holder.close)
-        holder.bind(("127.0.0.1", 0))
-        return "127.0.0.1:%d" % holder.getsockname()[1]
+        """An address that refuses connections: bound but not listening."""
+        bound = socket.socket()
+        self.addCleanup(bound.close)
+        bound.bind(("127.0.0.1", 0))
+        return "127.0.0.1:%d" % bound.getsockname()[1]
 
     def run_ctl(self, nodes, *words):
         options = []
@@ -133,7 +133,7 @@
         self.assertIn("Exit statuses:", result.stdout)
         self.assertIn("Examples:", result.stdout)
 
-    def test_wrong_usage_calls_nobody(self):
+    def test_wrong_usage_makes_no_call(self):
         node = self.node(status=[status(8, [])])
         for words in (["fly"], ["sheet"], ["sheet", "put"], ["status", "x"],
                       ["history", "--wait", "1"], ["wait", "soon"],
@@ -184,18 +184,18 @@
             self.assertEqual(path, "/v1/sheet?dry_run=1")
             self.assertNotIn("Sas-Operation", headers)
 
-    def test_conflict_tells_who_won(self):
-        won = {"reason": "conflict", "version": 8, "operation": "other",
-               "operator": "Yasmin\x1b[2J"}
-        node = self.node(sheet=[(409, won)])
+    def test_conflict_names_the_accepted_version(self):
+        accepted = {"reason": "conflict", "version": 8, "operation": "other",
+                    "operator": "Yasmin\x1b[2J"}
+        node = self.node(sheet=[(409, accepted)])
         result = self.expect(REFUSED, [node], "sheet", "put", self.sheet)
         self.assertIn("version 8 (operation other, operator Yasmin?[2J)",
                       result.stderr)
         result = self.expect(REFUSED, [node], "sheet", "put", self.sheet,
                              "--json")
-        self.assertEqual(json.loads(result.stdout), won)
+        self.assertEqual(json.loads(result.stdout), accepted)
 
-    def test_show_prints_the_sheet_as_it_is(self):
+    def test_show_prints_the_sheet_unchanged(self):
         node = self.node(sheet=[(200, SHEET, ("ETag", '"8"'))])
         self.assertEqual(
             self.expect(DONE, [node], "sheet", "show").stdout, SHEET)
@@ -203,7 +203,7 @@
         self.assertEqual(json.loads(result.stdout),
                          {"version": 8, "sheet": SHEET})
 
-    # Nodes that fail
+    # Failing nodes
 
     def test_next_node_is_tried(self):
         node = self.node(history=[(200, {"versions": []})],
@@ -216,20 +216,22 @@
                     self.sheet)
         self.expect(UNREACHABLE, [unready], "history")
 
-    def test_put_is_repeated_under_the_same_operation(self):
-        """A node takes the sheet and dies before it answers. The operator
-        must neither see a failure nor make two versions of one order."""
-        first = self.node(sheet=["cut"])
+    def test_put_is_retried_with_the_same_operation(self):
+        """The connection is reset after the node has read the sheet. The put
+        must succeed at the next node and not create a second version, so both
+        requests need the same operation id."""
+        first = self.node(sheet=["reset"])
         second = self.node(sheet=[ACCEPTED])
         self.expect(DONE, [first, second], "sheet", "put", self.sheet)
         operations = [node.calls[0][2]["Sas-Operation"]
                       for node in (first, second)]
         self.assertEqual(operations[0], operations[1])
 
-    def test_refusal_after_a_lost_answer_is_settled_by_asking(self):
-        """The first node carries out the order and its answer is lost; then
-        another operator's version comes. The second node answers the repeat
-        with a conflict, which is true of now but not of our order."""
+    def test_refusal_after_a_lost_response_queries_the_operation(self):
+        """The first node carries out the operation and its response is lost.
+        Then another operator's version is accepted, so the second node refuses
+        the retry with a conflict. That doesn't tell the outcome of the
+        operation: it must be queried."""
         conflict = (409, {"reason": "conflict", "version": 9,
                           "operation": "other", "operator": "y"})
         for state, code in (("in-force", DONE), ("lost", REFUSED),
@@ -237,31 +239,31 @@
             with self.subTest(state=state):
                 answer = (200, {"operation": "op-1", "state": state,
                                 "version": 8})
-                first = self.node(sheet=["cut"], operations=["cut"])
+                first = self.node(sheet=["reset"], operations=["reset"])
                 second = self.node(sheet=[conflict], operations=[answer])
                 self.expect(code, [first, second], "sheet", "put", self.sheet,
                             "--operation", "op-1")
 
-    def test_unknown_outcome_says_how_to_ask_again(self):
-        lost = self.node(sheet=["cut"])
-        stuck = self.node(sheet=[(503, {"reason": "unknown"})])
-        for node in (lost, stuck):
+    def test_unknown_outcome_names_the_operation(self):
+        lost = self.node(sheet=["reset"])
+        failing = self.node(sheet=[(503, {"reason": "unknown"})])
+        for node in (lost, failing):
             result = self.expect(UNKNOWN, [node], "sheet", "put", self.sheet,
                                  "--operation", "op-9", "--json")
             self.assertIn("operation op-9", result.stderr)
             self.assertEqual(json.loads(result.stdout),
                              {"reason": "unknown", "operation": "op-9"})
 
-    def test_refusal_that_ran_nothing_is_not_unknown(self):
+    def test_refusal_without_effect_is_not_unknown(self):
         node = self.node(sheet=[(503, {"reason": "stopping"},
                                  ("Sas-Outcome", "not-run")),
                                 (503, {"reason": "store-unavailable"})])
         self.expect(UNREACHABLE, [node], "sheet", "put", self.sheet)
         self.expect(UNREACHABLE, [node], "sheet", "put", self.sheet)
 
-    # The rest
+    # Other commands
 
-    def test_drain_names_its_target(self):
+    def test_drain_sends_its_target(self):
         node = self.node(drain=[ACCEPTED, (404, {"reason": "not-found",
                                                  "text": "no such"})])
         self.expect(DONE, [node], "drain", "a&b")
@@ -269,20 +271,20 @@
                          ("POST", "/v1/drain?target=a%26b"))
         self.expect(REFUSED, [node], "drain", "d-99")
 
-    def test_operation_states_are_exit_statuses(self):
+    def test_operation_state_sets_the_exit_status(self):
         for state, code in (("in-force", DONE), ("lost", REFUSED),
                             ("unknown", UNKNOWN)):
             node = self.node(operations=[(200, {"operation": "a",
                                                 "state": state})])
             self.expect(code, [node], "operation", "a")
 
-    def test_wait_ends_when_all_have_it(self):
+    def test_wait_ends_when_all_nodes_have_the_version(self):
         node = self.node(status=[status(7, [("b", 7)]), status(8, [("b", 7)]),
                                  status(8, [("b", 9)])], sheet=[ACCEPTED])
         self.expect(DONE, [node], "sheet", "put", self.sheet, "--wait", "30")
         self.assertEqual(len(node.calls), 4)
 
-    def test_wait_names_those_that_lag(self):
+    def test_wait_lists_lagging_nodes(self):
         node = self.node(status=[status(8, [("qc-a-1", 7), ("qc-b-1", 8)])])
         result = self.expect(TIMEOUT, [node], "wait", "8", "--timeout", "0")
         self.assertIn("qc-a-1", result.stdout)
@@ -331,7 +333,7 @@
         self.assertEqual(json.loads(result.stdout),
                          {'x_total{reason="a b"}': 3, "up": 1})
 
-    def test_answer_that_is_no_json_is_a_failure(self):
+    def test_response_without_json_is_a_failure(self):
         node = self.node(status=[(200, "<html>")], sheet=[(200, "<html>")])
         self.expect(UNREACHABLE, [node], "status")
         self.expect(UNKNOWN, [node], "sheet", "put", self.sheet)
