--- a/packages/proto/tests/test_mesh.c
+++ b/packages/proto/tests/test_mesh.c
@@ -80,14 +80,14 @@
     for (int i = 0; i < 20000; i++) {
         char bytes[MAX_DATAGRAM];
         memcpy(bytes, whole, size);
-        u_int cut = (u_int)g_rand_int_range(random, 0, (gint32)size + 1);
+        u_int length = (u_int)g_rand_int_range(random, 0, (gint32)size + 1);
         int flips = g_rand_int_range(random, 0, 8);
         for (int j = 0; j < flips; j++) {
             bytes[g_rand_int_range(random, 0, (gint32)size)] =
                 (char)g_rand_int(random);
         }
         sas_mesh_message message;
-        if (decode(bytes, cut, &message)) {
+        if (decode(bytes, length, &message)) {
             assert_true(message.news.news_len <= SAS_MESH_MAX_NEWS);
             assert_true(message.trips.trips_len <= SAS_MESH_MAX_TRIPS);
             assert_true(strlen(message.sender.name) <= SAS_MESH_MAX_TEXT);
--- a/packages/proto/tests/test_proto.c
+++ b/packages/proto/tests/test_proto.c
@@ -142,14 +142,14 @@
         size_t size;
         g_autofree uint8_t *bytes = encode(&sample, &size);
         struct sas_proto_message got;
-        for (size_t cut = 0; cut < size; cut++) {
-            assert_int_equal(open_record(bytes, cut, &got, NULL), -1);
+        for (size_t length = 0; length < size; length++) {
+            assert_int_equal(open_record(bytes, length, &got, NULL), -1);
         }
         size_t body_size;
         g_autofree uint8_t *body =
             SasProto_EncodeBody(&sample, &body_size, NULL);
-        for (size_t cut = 0; cut < body_size; cut++) {
-            assert_int_equal(decode_body(&sample, body, cut), -1);
+        for (size_t length = 0; length < body_size; length++) {
+            assert_int_equal(decode_body(&sample, body, length), -1);
         }
     }
 }
