--- a/packages/core/include/sas/admit.h
+++ b/packages/core/include/sas/admit.h
@@ -12,7 +12,7 @@
  * until the backlog has been worked off. Queueing it would only delay others,
  * and a request that must not be retried is lost if it times out at a server.
  *
- * Times are milliseconds. Service times are those of sas/pace.h.
+ * Times are milliseconds. Service times are those of sas/service_time.h.
  */
 #ifndef SAS_ADMIT_H
 #define SAS_ADMIT_H
@@ -48,9 +48,9 @@
 struct sas_admit_query {
     const int *slots; /* eligible servers as ranked by sas/owner.h */
     int count;
-    const struct sas_objects *objects; /* NULL: a request without key */
-    const struct sas_pace *pace;       /* of the route */
-    uint64_t key;                      /* of the object */
+    const struct sas_objects *objects;   /* NULL: a request without key */
+    const struct sas_service_time *pace; /* of the route */
+    uint64_t key;                        /* of the object */
     double goal_ms; /* remaining until the latency objective */
     double left_ms; /* remaining until the caller's or the route's deadline */
     bool urgent;    /* high priority: the route isn't of the lowest one */
--- a/packages/core/include/sas/fleet.h
+++ b/packages/core/include/sas/fleet.h
@@ -22,7 +22,7 @@
 
 #include "sas/limits.h"
 #include "sas/model.h"
-#include "sas/pace.h"
+#include "sas/service_time.h"
 
 #define SasFleet_MAX_ZONES 64
 #define SasFleet_ID_SIZE 201 /* a key of the store, with the final NUL */
@@ -91,8 +91,9 @@
     double cold_per_s;   /* rate that a cold server can handle; 0: no limit */
     int64_t cold_ms;     /* how long a server is cold after its start */
     double goal_ms;      /* longest latency objective of its routes; 0: none */
-    struct sas_pace pace; /* service time over all its routes */
-    GArray *servers;      /* int, table slots of its present servers */
+    /* service time over all its routes */
+    struct sas_service_time service_time;
+    GArray *servers; /* int, table slots of its present servers */
 };
 
 /* Whether a request may run more than once. */
--- a/packages/core/include/sas/keep.h
+++ b/packages/core/include/sas/keep.h
@@ -42,7 +42,7 @@
 /* Whether a route prefers the caller's zone; bytes: mean size of a request and
  * its answer. An owner in each zone of a region saves half of the bytes
  * between zones, but leaves every object uncached at one more server. */
-bool SasKeep_IsNear(const struct sas_pace *pace, double bytes);
+bool SasKeep_IsNear(const struct sas_service_time *service_time, double bytes);
 
 /* Returns the zone share, from 0 to 1, and adjusts it at most once in
  * SasKeep_EVERY_MS. */
--- a/packages/core/include/sas/traffic.h
+++ b/packages/core/include/sas/traffic.h
@@ -9,8 +9,9 @@
  * half-open and gets one probe request at a time: success ends the ejection,
  * failure renews it.
  *
- * "Service time" means that of an uncached object (sas/pace.h). Times are
- * monotonic milliseconds, or multiples of the service time where it is said.
+ * "Service time" means that of an uncached object (sas/service_time.h). Times
+ * are monotonic milliseconds, or multiples of the service time where it is
+ * said.
  */
 #ifndef SAS_TRAFFIC_H
 #define SAS_TRAFFIC_H
@@ -163,7 +164,7 @@
                           int64_t now_ms);
 
 /* The service time of an uncached object of the service. */
-double SasTraffic_GetPaceMs(const struct sas_fleet *fleet, int service);
+double SasTraffic_GetServiceTimeMs(const struct sas_fleet *fleet, int service);
 
 /* Requests at the server, running and waiting. */
 double SasTraffic_EstimateLoad(const struct sas_fleet *fleet, int slot,
--- a/packages/core/src/admit.c
+++ b/packages/core/src/admit.c
@@ -25,8 +25,9 @@
                   const struct sas_admit_query *query, int service,
                   double service_ms)
 {
-    if (!SasPace_IsLearned(query->pace)) {
-        service_ms = MIN(service_ms, SasTraffic_GetPaceMs(fleet, service));
+    if (!SasServiceTime_IsLearned(query->pace)) {
+        service_ms =
+            MIN(service_ms, SasTraffic_GetServiceTimeMs(fleet, service));
     }
     return SasAdmit_SAFETY * query->left_ms - service_ms;
 }
@@ -38,7 +39,7 @@
                  const struct sas_fleet_server *server, double service_ms,
                  int64_t now_ms)
 {
-    double least = SasAdmit_LEAST_WAIT * SasPace_Get(query->pace, true);
+    double least = SasAdmit_LEAST_WAIT * SasServiceTime_Get(query->pace, true);
     double allowed = MAX(query->goal_ms - service_ms, least);
     if (query->in_doubt || now_ms < server->traffic.brief_until) {
         allowed *= query->urgent ? SasAdmit_BRIEF_URGENT : SasAdmit_BRIEF;
@@ -58,7 +59,8 @@
     int64_t sent_at =
         SasObjects_GetSentAt(query->objects, SasFleet_At(fleet, slot)->service,
                              query->key, SasFleet_GetRef(fleet, slot));
-    double limit_ms = SasAdmit_LEARNING * SasPace_Get(query->pace, false);
+    double limit_ms =
+        SasAdmit_LEARNING * SasServiceTime_Get(query->pace, false);
     return sent_at > 0 && (double)(now_ms - sent_at) < limit_ms;
 }
 
@@ -68,8 +70,8 @@
 get_service_ms(const struct sas_admit_query *query, int slot, bool cached)
 {
     return !cached && slot == query->slots[0]
-               ? SasPace_GetUnseen(query->pace)
-               : SasPace_Get(query->pace, cached);
+               ? SasServiceTime_GetUnseen(query->pace)
+               : SasServiceTime_Get(query->pace, cached);
 }
 
 static struct candidate
--- a/packages/core/src/fleet.c
+++ b/packages/core/src/fleet.c
@@ -302,7 +302,8 @@
                            .service);
             if ((double)route->target_latency_ms > service->goal_ms) {
                 service->goal_ms = (double)route->target_latency_ms;
-                SasPace_SetGoal(&service->pace, service->goal_ms);
+                SasServiceTime_SetObjective(&service->service_time,
+                                            service->goal_ms);
             }
         }
     }
@@ -481,7 +482,7 @@
     struct sas_fleet_service *row = g_new0(struct sas_fleet_service, 1);
     g_strlcpy(row->name, name, sizeof(row->name));
     row->servers = g_array_new(FALSE, FALSE, sizeof(int));
-    SasPace_Init(&row->pace, 0);
+    SasServiceTime_Init(&row->service_time, 0);
     g_ptr_array_add(fleet->services, row);
     service = (int)fleet->services->len - 1;
     g_hash_table_insert(fleet->service_by_name, row->name,
--- a/packages/core/src/keep.c
+++ b/packages/core/src/keep.c
@@ -69,7 +69,8 @@
 }
 
 bool
-SasKeep_IsNear(const struct sas_pace *pace, double bytes)
+SasKeep_IsNear(const struct sas_service_time *service_time, double bytes)
 {
-    return bytes >= SasKeep_NEAR_BYTES_PER_MS * SasPace_Get(pace, false);
+    return bytes >=
+           SasKeep_NEAR_BYTES_PER_MS * SasServiceTime_Get(service_time, false);
 }
--- a/packages/core/src/traffic.c
+++ b/packages/core/src/traffic.c
@@ -3,9 +3,10 @@
 #include <math.h>
 
 double
-SasTraffic_GetPaceMs(const struct sas_fleet *fleet, int service)
+SasTraffic_GetServiceTimeMs(const struct sas_fleet *fleet, int service)
 {
-    return SasPace_Get(&SasFleet_GetService(fleet, service)->pace, false);
+    return SasServiceTime_Get(
+        &SasFleet_GetService(fleet, service)->service_time, false);
 }
 
 /* Converts service times at the server to milliseconds. */
@@ -13,7 +14,7 @@
 in_service_times(const struct sas_fleet *fleet, int slot, double count)
 {
     int service = SasFleet_At(fleet, slot)->service;
-    return (int64_t)(count * SasTraffic_GetPaceMs(fleet, service));
+    return (int64_t)(count * SasTraffic_GetServiceTimeMs(fleet, service));
 }
 
 void
@@ -162,8 +163,9 @@
                   const struct sas_traffic_end *end)
 {
     if (!end->timed_out && SasTraffic_FoundSlot(server, end->load_when_sent)) {
-        SasPace_Note(&SasFleet_GetService(fleet, server->service)->pace,
-                     end->known, end->elapsed_ms);
+        SasServiceTime_Note(
+            &SasFleet_GetService(fleet, server->service)->service_time,
+            end->known, end->elapsed_ms);
     }
 }
 
@@ -179,7 +181,7 @@
     }
     double relative_time = end->elapsed_ms /
                            get_queue_factor(server, end->load_when_sent) /
-                           SasTraffic_GetPaceMs(fleet, server->service);
+                           SasTraffic_GetServiceTimeMs(fleet, server->service);
     bool healthy = !end->timed_out && relative_time <= SasTraffic_TRIAL;
     traffic->timeouts = end->timed_out ? traffic->timeouts + 1 : 0;
     if (healthy) {
@@ -303,8 +305,8 @@
     }
     double others = traffic->reported_running + traffic->reported_waiting -
                     traffic->in_flight_at_report;
-    double half_life_ms =
-        SasTraffic_HALF_LIFE * SasTraffic_GetPaceMs(fleet, server->service);
+    double half_life_ms = SasTraffic_HALF_LIFE *
+                          SasTraffic_GetServiceTimeMs(fleet, server->service);
     double age_ms = (double)(now_ms - traffic->reported_at);
     return traffic->in_flight + MAX(others, 0) * exp2(-age_ms / half_life_ms);
 }
@@ -317,7 +319,7 @@
     double slots = MAX(server->facts.slots, 1);
     double ahead = SasTraffic_EstimateLoad(fleet, slot, now_ms) - slots + 1;
     double work_ms =
-        SasFleet_GetService(fleet, server->service)->pace.mixed.ms;
+        SasFleet_GetService(fleet, server->service)->service_time.overall.ms;
     return MAX(ahead, 0) * work_ms / slots;
 }
 
--- a/packages/core/tests/test_admit.c
+++ b/packages/core/tests/test_admit.c
@@ -30,13 +30,13 @@
 {
     struct sas_fleet *fleet = new_fleet();
     struct sas_objects *objects = SasObjects_New();
-    struct sas_pace pace = {
-        .fresh = {.ms = UNCACHED_MS, .samples = 9},
-        .known = {.ms = CACHED_MS, .samples = 9},
-        .mixed = {.ms = CACHED_MS, .samples = 9},
+    struct sas_service_time service_time = {
+        .uncached = {.ms = UNCACHED_MS, .samples = 9},
+        .cached = {.ms = CACHED_MS, .samples = 9},
+        .overall = {.ms = CACHED_MS, .samples = 9},
     };
     add_servers(fleet, "forms", "a", SERVERS);
-    SasFleet_GetService(fleet, 0)->pace = pace;
+    SasFleet_GetService(fleet, 0)->service_time = service_time;
     for (int slot = 0; slot < SERVERS; slot++) {
         SasFleet_At(fleet, slot)->traffic.in_flight = scene->loads[slot];
         if (scene->cached[slot]) {
@@ -47,14 +47,14 @@
     SasFleet_At(fleet, OWNER)->traffic.brief_until =
         scene->short_queue ? 2000 : 0;
     if (scene->new_route) {
-        SasPace_Init(&pace, 5.0 * UNCACHED_MS);
+        SasServiceTime_Init(&service_time, 5.0 * UNCACHED_MS);
     }
     const int slots[SERVERS] = {OWNER, NEXT, 2};
     struct sas_admit_query query = {
         .slots = slots,
         .count = SERVERS,
         .objects = objects,
-        .pace = &pace,
+        .pace = &service_time,
         .key = KEY,
         .goal_ms = OBJECTIVE_MS,
         .left_ms = scene->left_ms > 0 ? scene->left_ms : 10000,
--- a/packages/core/tests/test_keep.c
+++ b/packages/core/tests/test_keep.c
@@ -76,12 +76,12 @@
 test_zone_is_preferred_by_bytes_per_service_time(void **state)
 {
     (void)state;
-    struct sas_pace quick;
-    struct sas_pace slow;
-    SasPace_Init(&quick, 0);
-    SasPace_Init(&slow, 0);
-    SasPace_Note(&quick, false, 312);
-    SasPace_Note(&slow, false, 600);
+    struct sas_service_time quick;
+    struct sas_service_time slow;
+    SasServiceTime_Init(&quick, 0);
+    SasServiceTime_Init(&slow, 0);
+    SasServiceTime_Note(&quick, false, 312);
+    SasServiceTime_Note(&slow, false, 600);
     assert_true(SasKeep_IsNear(&quick, 5500));
     assert_false(SasKeep_IsNear(&slow, 6200));
     assert_true(SasKeep_IsNear(&slow, 60000));
--- a/packages/core/tests/test_traffic.c
+++ b/packages/core/tests/test_traffic.c
@@ -24,9 +24,12 @@
 {
     struct sas_fleet *fleet = new_fleet();
     add_servers(fleet, "forms", "a", SERVERS);
-    struct sas_pace *pace = &SasFleet_GetService(fleet, 0)->pace;
-    pace->fresh = (struct sas_pace_estimate){.ms = SERVICE_MS, .samples = 9};
-    pace->known = (struct sas_pace_estimate){.ms = KNOWN_MS, .samples = 9};
+    struct sas_service_time *service_time =
+        &SasFleet_GetService(fleet, 0)->service_time;
+    service_time->uncached =
+        (struct sas_service_time_estimate){.ms = SERVICE_MS, .samples = 9};
+    service_time->cached =
+        (struct sas_service_time_estimate){.ms = KNOWN_MS, .samples = 9};
     return fleet;
 }
 
@@ -289,8 +292,10 @@
 {
     (void)state;
     struct sas_fleet *fleet = start();
-    struct sas_pace *pace = &SasFleet_GetService(fleet, 0)->pace;
-    pace->mixed = (struct sas_pace_estimate){.ms = 120, .samples = 9};
+    struct sas_service_time *service_time =
+        &SasFleet_GetService(fleet, 0)->service_time;
+    service_time->overall =
+        (struct sas_service_time_estimate){.ms = 120, .samples = 9};
     struct sas_server_traffic *traffic = &SasFleet_At(fleet, 0)->traffic;
     traffic->in_flight = 2; /* of 3 slots */
     assert_true(SasTraffic_EstimateWaitMs(fleet, 0, 1000) == 0);
--- a/packages/gateway/src/relay.c
+++ b/packages/gateway/src/relay.c
@@ -233,8 +233,8 @@
     struct route_state *state = g_hash_table_lookup(routes, call->route->name);
     if (state == NULL) {
         state = g_new0(struct route_state, 1);
-        SasPace_Init(&state->service_time,
-                     (double)call->route->target_latency_ms);
+        SasServiceTime_Init(&state->service_time,
+                            (double)call->route->target_latency_ms);
         g_hash_table_insert(routes, g_strdup(call->route->name), state);
     }
     return state;
--- a/packages/gateway/src/relay_attempt.c
+++ b/packages/gateway/src/relay_attempt.c
@@ -335,8 +335,8 @@
     const struct sas_fleet_server *server =
         SasFleet_At(relay->options.fleet, call->server.slot);
     if (SasTraffic_FoundSlot(server, call->load_when_sent)) {
-        SasPace_Note(&SasRelay_GetRouteState(call)->service_time, call->cached,
-                     elapsed_ms);
+        SasServiceTime_Note(&SasRelay_GetRouteState(call)->service_time,
+                            call->cached, elapsed_ms);
     }
     if (call->keyed) {
         SasObjects_NoteAnswered(relay->objects, server->service, call->key,
--- a/packages/gateway/src/relay_call.h
+++ b/packages/gateway/src/relay_call.h
@@ -50,7 +50,7 @@
 struct route_state { /* of a route by name, across configurations */
     struct sas_split split;
     double bytes; /* smoothed, of a request and its answer */
-    struct sas_pace service_time;
+    struct sas_service_time service_time;
 };
 
 struct sas_relay {
--- a/packages/gateway/src/relay_peers.c
+++ b/packages/gateway/src/relay_peers.c
@@ -90,7 +90,7 @@
         ejected ? cause : "its trial", "for_ms",
         ejected ? (int)traffic->hold_ms : 0, "in_flight", traffic->in_flight,
         "pace_ms",
-        SasTraffic_GetPaceMs(relay->options.fleet, server->service));
+        SasTraffic_GetServiceTimeMs(relay->options.fleet, server->service));
 }
 
 /* Applies a peer's report; the prober forwards it to all if it changes the
--- a/tools/emulate.c
+++ b/tools/emulate.c
@@ -126,7 +126,7 @@
 static int server_count;
 static struct sas_fleet *fleets[VMS];
 static struct sas_objects *objects[VMS];
-static struct sas_pace paces[VMS]; /* of the only route */
+static struct sas_service_time service_times[VMS]; /* of the only route */
 static struct window windows[MAX_WINDOWS];
 
 /* Hottes: two zones a region, the middle one short of servers. */
@@ -274,8 +274,8 @@
     struct sas_fleet *fleet = fleets[request->vm];
     if (SasTraffic_FoundSlot(SasFleet_At(fleet, request->server),
                              request->load_when_sent)) {
-        SasPace_Note(&paces[request->vm], request->known,
-                     now_ms - request->sent_at);
+        SasServiceTime_Note(&service_times[request->vm], request->known,
+                            now_ms - request->sent_at);
     }
     SasObjects_NoteAnswered(objects[request->vm], 0, get_key(request),
                             SasFleet_GetRef(fleet, request->server));
@@ -336,7 +336,7 @@
         .slots = slots,
         .count = count,
         .objects = objects[request->vm],
-        .pace = &paces[request->vm],
+        .pace = &service_times[request->vm],
         .key = get_key(request),
         .goal_ms = options.goal_ms,
         .left_ms = options.limit_ms,
@@ -428,9 +428,10 @@
     for (int vm = 0; vm < VMS; vm++) {
         fleets[vm] = make_fleet();
         objects[vm] = SasObjects_New();
-        SasPace_Init(&paces[vm], options.goal_ms);
-        SasPace_SetGoal(&SasFleet_GetService(fleets[vm], 0)->pace,
-                        options.goal_ms);
+        SasServiceTime_Init(&service_times[vm], options.goal_ms);
+        SasServiceTime_SetObjective(
+            &SasFleet_GetService(fleets[vm], 0)->service_time,
+            options.goal_ms);
     }
 }
 
