--- a/packages/core/include/sas/allowance.h
+++ b/packages/core/include/sas/shared_limits.h
@@ -1,4 +1,5 @@
-/* allowance - limits that all entry VMs share, without messages between them.
+/* shared_limits - limits that all entry VMs share, without messages between
+ * them.
  *
  * The retry budget of a service is a part of its recent requests plus a burst.
  * Each entry VM counts its own requests and divides the burst by the number of
@@ -8,8 +9,8 @@
  *
  * Times are monotonic milliseconds.
  */
-#ifndef SAS_ALLOWANCE_H
-#define SAS_ALLOWANCE_H
+#ifndef SAS_SHARED_LIMITS_H
+#define SAS_SHARED_LIMITS_H
 
 #include <stdbool.h>
 #include <stdint.h>
@@ -18,9 +19,9 @@
 
 /* Part of a limit that is used. The rest covers events that the server counts
  * in another window than the entry VM. */
-#define SasAllowance_MARGIN 0.85
+#define SasSharedLimits_MARGIN 0.85
 
-struct sas_repeat_allowance {
+struct sas_retry_budget {
     struct sas_window requests;
     struct sas_window retries;
     double share;
@@ -29,20 +30,20 @@
 
 /* Retry budget of one service within window_ms: share times its requests, plus
  * burst, which all entry VMs share. */
-void SasRepeat_Init(struct sas_repeat_allowance *allowance, double share,
-                    double burst, int64_t window_ms);
-void SasRepeat_NoteRequest(struct sas_repeat_allowance *allowance,
-                           int64_t now_ms);
+void SasRetryBudget_Init(struct sas_retry_budget *budget, double share,
+                         double burst, int64_t window_ms);
+void SasRetryBudget_NoteRequest(struct sas_retry_budget *budget,
+                                int64_t now_ms);
 
 /* Acquires one retry. False if the budget is exhausted. vms: entry VMs that
  * share the burst. */
-bool SasRepeat_Take(struct sas_repeat_allowance *allowance, int vms,
-                    int64_t now_ms);
+bool SasRetryBudget_Acquire(struct sas_retry_budget *budget, int vms,
+                            int64_t now_ms);
 
 /* Requests per second that one of vms entry VMs may send to a cold server. The
  * limit of all is cold_per_s * factor + slack. rank, from 0, is the entry VM's
  * rank for this server; the first ranks get the remainder of the division. */
-int SasCold_GetShare(double cold_per_s, double factor, double slack, int vms,
-                     int rank);
+int SasColdLimit_GetShare(double cold_per_s, double factor, double slack,
+                          int vms, int rank);
 
 #endif
--- a/packages/core/tests/test_allowance.c
+++ b/packages/core/tests/test_shared_limits.c
@@ -3,7 +3,7 @@
 #include <stddef.h>
 #include <cmocka.h>
 
-#include "sas/allowance.h"
+#include "sas/shared_limits.h"
 
 #define VMS 9
 
@@ -30,17 +30,17 @@
 test_retries_of_all_entry_vms_stay_within_the_budget(void **state)
 {
     (void)state;
-    struct sas_repeat_allowance allowances[VMS];
+    struct sas_retry_budget budgets[VMS];
     for (int vm = 0; vm < VMS; vm++) {
-        SasRepeat_Init(&allowances[vm], 0.2, 58, 10000);
+        SasRetryBudget_Init(&budgets[vm], 0.2, 58, 10000);
     }
     int requests = 0;
     int retries = 0;
     for (int64_t t = 0; t < 10000; t += 2) {
         int vm = t < 5000 ? 0 : (int)(t / 2) % VMS; /* first all at one */
-        SasRepeat_NoteRequest(&allowances[vm], t);
+        SasRetryBudget_NoteRequest(&budgets[vm], t);
         requests++;
-        retries += SasRepeat_Take(&allowances[vm], VMS, t) ? 1 : 0;
+        retries += SasRetryBudget_Acquire(&budgets[vm], VMS, t) ? 1 : 0;
     }
     assert_true(retries <= 0.2 * requests + 58);
     assert_true(retries >= 0.7 * 0.2 * requests);
@@ -55,14 +55,14 @@
     for (int vms = 1; vms <= 30; vms++) {
         int sum = 0;
         for (int rank = 0; rank < vms; rank++) {
-            sum += SasCold_GetShare(9, 1.5, 5, vms, rank);
+            sum += SasColdLimit_GetShare(9, 1.5, 5, vms, rank);
         }
         assert_true(sum <= 18);
         assert_true(sum >= 15); /* most of the limit is used */
     }
-    assert_int_equal(SasCold_GetShare(9, 1.5, 5, 3, 0), 5);
-    assert_int_equal(SasCold_GetShare(9, 1.5, 5, 30, 0), 1);
-    assert_int_equal(SasCold_GetShare(9, 1.5, 5, 30, 29), 0);
+    assert_int_equal(SasColdLimit_GetShare(9, 1.5, 5, 3, 0), 5);
+    assert_int_equal(SasColdLimit_GetShare(9, 1.5, 5, 30, 0), 1);
+    assert_int_equal(SasColdLimit_GetShare(9, 1.5, 5, 30, 29), 0);
 }
 
 int
--- a/packages/gateway/src/relay.c
+++ b/packages/gateway/src/relay.c
@@ -91,8 +91,8 @@
     const struct sas_entry_bounds *bounds = &relay->options.settings->bounds;
     while ((int)relay->services->len <= service) {
         struct service_state *state = g_new0(struct service_state, 1);
-        SasRepeat_Init(&state->retries, bounds->retry_share,
-                       bounds->retry_burst, bounds->retry_window_ms);
+        SasRetryBudget_Init(&state->retries, bounds->retry_share,
+                            bounds->retry_burst, bounds->retry_window_ms);
         g_ptr_array_add(relay->services, state);
     }
     return relay->services->pdata[service];
@@ -358,8 +358,9 @@
     }
     find_object(call);
     call->service = pick_service(call);
-    SasRepeat_NoteRequest(&SasRelay_GetService(relay, call->service)->retries,
-                          SasRelay_Now(relay));
+    SasRetryBudget_NoteRequest(
+        &SasRelay_GetService(relay, call->service)->retries,
+        SasRelay_Now(relay));
     SasRelay_Choose(call);
 }
 
--- a/packages/gateway/src/relay_call.h
+++ b/packages/gateway/src/relay_call.h
@@ -5,7 +5,7 @@
 
 #include "relay.h"
 #include "sas/admit.h"
-#include "sas/allowance.h"
+#include "sas/shared_limits.h"
 #include "sas/grey.h"
 #include "sas/http.h"
 #include "sas/keep.h"
@@ -34,7 +34,7 @@
 #define SasRelay_DEFAULT_DEADLINE_MS 30000
 
 struct service_state {
-    struct sas_repeat_allowance retries;
+    struct sas_retry_budget retries;
     struct sas_keep zone_share;
     int64_t avoid_idle_until; /* idle connections may be dead until then */
 };
--- a/packages/gateway/src/relay_choose.c
+++ b/packages/gateway/src/relay_choose.c
@@ -91,8 +91,8 @@
         return true;
     }
     int share =
-        SasCold_GetShare(service->cold_per_s, bounds->cold_factor,
-                         bounds->cold_slack, senders.count, senders.rank);
+        SasColdLimit_GetShare(service->cold_per_s, bounds->cold_factor,
+                              bounds->cold_slack, senders.count, senders.rank);
     return SasWindow_Count(&state->cold_sends, now_ms) >= share;
 }
 
@@ -113,8 +113,9 @@
     }
     struct service_state *service =
         SasRelay_GetService(call->relay, call->service);
-    if (!SasRepeat_Take(&service->retries,
-                        SasMesh_Count(call->relay->options.mesh), now_ms)) {
+    if (!SasRetryBudget_Acquire(&service->retries,
+                                SasMesh_Count(call->relay->options.mesh),
+                                now_ms)) {
         return "no repeats left";
     }
     return NULL;
