--- a/packages/core/include/sas/admit.h
+++ b/packages/core/include/sas/admit.h
@@ -17,8 +17,8 @@
 #ifndef SAS_ADMIT_H
 #define SAS_ADMIT_H
 
+#include "sas/cached_objects.h"
 #include "sas/fleet.h"
-#include "sas/objects.h"
 
 /* Servers of an object: the owner, and one for requests that the owner can't
  * complete in time. Each has to load the object into its cache once. */
@@ -48,9 +48,9 @@
 struct sas_admit_query {
     const int *slots; /* eligible servers as ranked by sas/owner.h */
     int count;
-    const struct sas_objects *objects;   /* NULL: a request without key */
-    const struct sas_service_time *pace; /* of the route */
-    uint64_t key;                        /* of the object */
+    const struct sas_cached_objects *objects; /* NULL: a request without key */
+    const struct sas_service_time *pace;      /* of the route */
+    uint64_t key;                             /* of the object */
     double goal_ms; /* remaining until the latency objective */
     double left_ms; /* remaining until the caller's or the route's deadline */
     bool urgent;    /* high priority: the route isn't of the lowest one */
--- a/packages/core/src/admit.c
+++ b/packages/core/src/admit.c
@@ -56,9 +56,9 @@
     if (query->objects == NULL) {
         return false;
     }
-    int64_t sent_at =
-        SasObjects_GetSentAt(query->objects, SasFleet_At(fleet, slot)->service,
-                             query->key, SasFleet_GetRef(fleet, slot));
+    int64_t sent_at = SasCachedObjects_GetLoadingSince(
+        query->objects, SasFleet_At(fleet, slot)->service, query->key,
+        SasFleet_GetRef(fleet, slot));
     double limit_ms =
         SasAdmit_LEARNING * SasServiceTime_Get(query->pace, false);
     return sent_at > 0 && (double)(now_ms - sent_at) < limit_ms;
@@ -82,8 +82,8 @@
     struct candidate candidate = {.slot = slot};
     candidate.cached =
         query->objects != NULL &&
-        SasObjects_IsKnown(query->objects, server->service, query->key,
-                           SasFleet_GetRef(fleet, slot));
+        SasCachedObjects_IsCached(query->objects, server->service, query->key,
+                                  SasFleet_GetRef(fleet, slot));
     candidate.warming = is_warming(fleet, query, slot, now_ms);
     candidate.wait_ms = SasTraffic_EstimateWaitMs(fleet, slot, now_ms);
     candidate.service_ms = get_service_ms(query, slot, candidate.cached);
--- a/packages/core/src/objects.c
+++ b/packages/core/src/cached_objects.c
@@ -1,11 +1,11 @@
-#include "sas/objects.h"
+#include "sas/cached_objects.h"
 
 #include <string.h>
 
 #include <glib.h>
 
 #define WAYS 4
-#define SETS (SasObjects_CAPACITY / WAYS)
+#define SETS (SasCachedObjects_CAPACITY / WAYS)
 
 struct holder {
     int32_t slot_plus_one; /* 0: none */
@@ -16,24 +16,24 @@
     uint64_t key;     /* 0: empty */
     uint32_t used_at; /* for the eviction of the least recently used */
     uint8_t next;     /* index of the holder to be replaced next */
-    struct holder holders[SasObjects_HOLDERS];
+    struct holder holders[SasCachedObjects_HOLDERS];
     struct holder pending_holder; /* got a first request for it */
     int64_t sent_at;              /* of that request, ms */
 };
 
-struct sas_objects {
+struct sas_cached_objects {
     uint32_t uses; /* clock of used_at */
     struct object sets[SETS][WAYS];
 };
 
-struct sas_objects *
-SasObjects_New(void)
+struct sas_cached_objects *
+SasCachedObjects_New(void)
 {
-    return g_new0(struct sas_objects, 1);
+    return g_new0(struct sas_cached_objects, 1);
 }
 
 void
-SasObjects_Free(struct sas_objects *objects)
+SasCachedObjects_Free(struct sas_cached_objects *objects)
 {
     g_free(objects);
 }
@@ -60,7 +60,7 @@
 
 /* The object's entry, which may replace the least recently used one. */
 static struct object *
-find_or_add(struct sas_objects *objects, uint64_t full_key)
+find_or_add(struct sas_cached_objects *objects, uint64_t full_key)
 {
     struct object *set = objects->sets[full_key % SETS];
     int way = find_way(set, full_key);
@@ -94,7 +94,7 @@
 static bool
 has_holder(const struct object *object, struct sas_server_ref server)
 {
-    for (int i = 0; i < SasObjects_HOLDERS; i++) {
+    for (int i = 0; i < SasCachedObjects_HOLDERS; i++) {
         if (is_holder(&object->holders[i], server)) {
             return true;
         }
@@ -103,8 +103,9 @@
 }
 
 void
-SasObjects_NoteSent(struct sas_objects *objects, int service, uint64_t key,
-                    struct sas_server_ref server, int64_t now_ms)
+SasCachedObjects_NoteLoading(struct sas_cached_objects *objects, int service,
+                             uint64_t key, struct sas_server_ref server,
+                             int64_t now_ms)
 {
     struct object *object = find_or_add(objects, get_full_key(service, key));
     object->used_at = ++objects->uses;
@@ -113,8 +114,8 @@
 }
 
 void
-SasObjects_NoteAnswered(struct sas_objects *objects, int service, uint64_t key,
-                        struct sas_server_ref server)
+SasCachedObjects_NoteAnswered(struct sas_cached_objects *objects, int service,
+                              uint64_t key, struct sas_server_ref server)
 {
     struct object *object = find_or_add(objects, get_full_key(service, key));
     object->used_at = ++objects->uses;
@@ -125,11 +126,12 @@
         return;
     }
     object->holders[object->next] = make_holder(server);
-    object->next = (uint8_t)((object->next + 1) % SasObjects_HOLDERS);
+    object->next = (uint8_t)((object->next + 1) % SasCachedObjects_HOLDERS);
 }
 
 static const struct object *
-find_object(const struct sas_objects *objects, int service, uint64_t key)
+find_object(const struct sas_cached_objects *objects, int service,
+            uint64_t key)
 {
     uint64_t full_key = get_full_key(service, key);
     const struct object *set = objects->sets[full_key % SETS];
@@ -138,16 +140,18 @@
 }
 
 bool
-SasObjects_IsKnown(const struct sas_objects *objects, int service,
-                   uint64_t key, struct sas_server_ref server)
+SasCachedObjects_IsCached(const struct sas_cached_objects *objects,
+                          int service, uint64_t key,
+                          struct sas_server_ref server)
 {
     const struct object *object = find_object(objects, service, key);
     return object != NULL && has_holder(object, server);
 }
 
 int64_t
-SasObjects_GetSentAt(const struct sas_objects *objects, int service,
-                     uint64_t key, struct sas_server_ref server)
+SasCachedObjects_GetLoadingSince(const struct sas_cached_objects *objects,
+                                 int service, uint64_t key,
+                                 struct sas_server_ref server)
 {
     const struct object *object = find_object(objects, service, key);
     return object != NULL && is_holder(&object->pending_holder, server)
--- a/packages/core/tests/test_admit.c
+++ b/packages/core/tests/test_admit.c
@@ -29,7 +29,7 @@
 decide(const struct scene *scene)
 {
     struct sas_fleet *fleet = new_fleet();
-    struct sas_objects *objects = SasObjects_New();
+    struct sas_cached_objects *objects = SasCachedObjects_New();
     struct sas_service_time service_time = {
         .uncached = {.ms = UNCACHED_MS, .samples = 9},
         .cached = {.ms = CACHED_MS, .samples = 9},
@@ -40,8 +40,8 @@
     for (int slot = 0; slot < SERVERS; slot++) {
         SasFleet_At(fleet, slot)->traffic.in_flight = scene->loads[slot];
         if (scene->cached[slot]) {
-            SasObjects_NoteAnswered(objects, 0, KEY,
-                                    SasFleet_GetRef(fleet, slot));
+            SasCachedObjects_NoteAnswered(objects, 0, KEY,
+                                          SasFleet_GetRef(fleet, slot));
         }
     }
     SasFleet_At(fleet, OWNER)->traffic.brief_until =
@@ -62,7 +62,7 @@
         .in_doubt = scene->rows_stale,
     };
     struct sas_admit_verdict decision = SasAdmit_Judge(fleet, &query, 1000);
-    SasObjects_Free(objects);
+    SasCachedObjects_Free(objects);
     SasFleet_Free(fleet);
     return decision;
 }
--- a/packages/gateway/src/relay.c
+++ b/packages/gateway/src/relay.c
@@ -36,7 +36,7 @@
         SasPoisonRequests_New(options->loop, options->fleet, options->pool,
                               options->mesh, options->metrics);
     SasRelay_Subscribe(relay);
-    relay->objects = SasObjects_New();
+    relay->objects = SasCachedObjects_New();
     relay->services = g_ptr_array_new_with_free_func(g_free);
     relay->slots = g_ptr_array_new_with_free_func(g_free);
     relay->routes =
@@ -48,7 +48,7 @@
 SasRelay_Free(struct sas_relay *relay)
 {
     SasPoisonRequests_Free(relay->poison_requests);
-    SasObjects_Free(relay->objects);
+    SasCachedObjects_Free(relay->objects);
     g_ptr_array_free(relay->services, TRUE);
     g_ptr_array_free(relay->slots, TRUE);
     g_hash_table_destroy(relay->routes);
--- a/packages/gateway/src/relay_attempt.c
+++ b/packages/gateway/src/relay_attempt.c
@@ -339,8 +339,8 @@
                             call->cached, elapsed_ms);
     }
     if (call->keyed) {
-        SasObjects_NoteAnswered(relay->objects, server->service, call->key,
-                                call->server);
+        SasCachedObjects_NoteAnswered(relay->objects, server->service,
+                                      call->key, call->server);
     }
 }
 
--- a/packages/gateway/src/relay_call.h
+++ b/packages/gateway/src/relay_call.h
@@ -62,7 +62,7 @@
     GPtrArray *slots;    /* struct slot_state *, by slot */
     GHashTable *routes;  /* struct route_state by route name */
     struct sas_poison_requests *poison_requests;
-    struct sas_objects *objects;
+    struct sas_cached_objects *objects;
     bool rows_stale; /* of servers, which may be cold without notice */
     int end_counters[SAS_HTTP_END_COUNT]; /* metrics of connections */
     GQueue calls; /* struct relay_call *, by their links */
--- a/packages/gateway/src/relay_choose.c
+++ b/packages/gateway/src/relay_choose.c
@@ -383,8 +383,9 @@
         call->cached = verdict.known;
         call->work_ms = verdict.work_ms;
         if (call->keyed && !call->cached) {
-            SasObjects_NoteSent(relay->objects, call->service, call->key,
-                                SasFleet_GetRef(fleet, verdict.slot), now_ms);
+            SasCachedObjects_NoteLoading(
+                relay->objects, call->service, call->key,
+                SasFleet_GetRef(fleet, verdict.slot), now_ms);
         }
         SasRelay_Send(call, verdict.slot);
         return;
--- a/tools/emulate.c
+++ b/tools/emulate.c
@@ -125,7 +125,7 @@
 static struct server servers[MAX_SERVERS];
 static int server_count;
 static struct sas_fleet *fleets[VMS];
-static struct sas_objects *objects[VMS];
+static struct sas_cached_objects *objects[VMS];
 static struct sas_service_time service_times[VMS]; /* of the only route */
 static struct window windows[MAX_WINDOWS];
 
@@ -277,8 +277,8 @@
         SasServiceTime_Note(&service_times[request->vm], request->known,
                             now_ms - request->sent_at);
     }
-    SasObjects_NoteAnswered(objects[request->vm], 0, get_key(request),
-                            SasFleet_GetRef(fleet, request->server));
+    SasCachedObjects_NoteAnswered(objects[request->vm], 0, get_key(request),
+                                  SasFleet_GetRef(fleet, request->server));
 }
 
 static void
@@ -345,9 +345,10 @@
         SasAdmit_Judge(fleets[request->vm], &query, (int64_t)now_ms);
     request->known = verdict.known;
     if (verdict.slot != SasModel_NONE && !verdict.known) {
-        SasObjects_NoteSent(objects[request->vm], 0, get_key(request),
-                            SasFleet_GetRef(fleets[request->vm], verdict.slot),
-                            (int64_t)now_ms);
+        SasCachedObjects_NoteLoading(
+            objects[request->vm], 0, get_key(request),
+            SasFleet_GetRef(fleets[request->vm], verdict.slot),
+            (int64_t)now_ms);
     }
     return verdict.slot;
 }
@@ -427,7 +428,7 @@
     }
     for (int vm = 0; vm < VMS; vm++) {
         fleets[vm] = make_fleet();
-        objects[vm] = SasObjects_New();
+        objects[vm] = SasCachedObjects_New();
         SasServiceTime_Init(&service_times[vm], options.goal_ms);
         SasServiceTime_SetObjective(
             &SasFleet_GetService(fleets[vm], 0)->service_time,
@@ -444,7 +445,7 @@
     }
     for (int vm = 0; vm < VMS; vm++) {
         SasFleet_Free(fleets[vm]);
-        SasObjects_Free(objects[vm]);
+        SasCachedObjects_Free(objects[vm]);
     }
     g_sequence_free(events);
     g_ptr_array_free(requests, TRUE);
