--- a/packages/core/include/sas/traffic.h
+++ b/packages/core/include/sas/traffic.h
@@ -21,7 +21,7 @@
 /* A queue absorbs a burst. A standing queue only delays requests: the
  * execution slots do no more work than with a short one. So when a queue has
  * stood for STANDING service times, only a short one is admitted for BRIEF
- * service times (sas/admit.h). */
+ * service times (sas/admission.h). */
 #define SasTraffic_QUEUE 2 /* waiting requests that count as a queue */
 #define SasTraffic_STANDING 2.0
 #define SasTraffic_BRIEF 8.0
--- a/packages/core/src/admit.c
+++ b/packages/core/src/admission.c
@@ -1,4 +1,4 @@
-#include "sas/admit.h"
+#include "sas/admission.h"
 
 #include "sas/traffic.h"
 
@@ -22,27 +22,30 @@
  */
 static double
 get_deadline_wait(const struct sas_fleet *fleet,
-                  const struct sas_admit_query *query, int service,
+                  const struct sas_admission_query *query, int service,
                   double service_ms)
 {
-    if (!SasServiceTime_IsLearned(query->pace)) {
+    if (!SasServiceTime_IsLearned(query->service_time)) {
         service_ms =
             MIN(service_ms, SasTraffic_GetServiceTimeMs(fleet, service));
     }
-    return SasAdmit_SAFETY * query->left_ms - service_ms;
+    return SasAdmission_DEADLINE_SHARE * query->left_ms - service_ms;
 }
 
 /* The longest allowed wait for a request with this service time. */
 static double
 get_allowed_wait(const struct sas_fleet *fleet,
-                 const struct sas_admit_query *query,
+                 const struct sas_admission_query *query,
                  const struct sas_fleet_server *server, double service_ms,
                  int64_t now_ms)
 {
-    double least = SasAdmit_LEAST_WAIT * SasServiceTime_Get(query->pace, true);
-    double allowed = MAX(query->goal_ms - service_ms, least);
-    if (query->in_doubt || now_ms < server->traffic.brief_until) {
-        allowed *= query->urgent ? SasAdmit_BRIEF_URGENT : SasAdmit_BRIEF;
+    double least =
+        SasAdmission_MIN_WAIT * SasServiceTime_Get(query->service_time, true);
+    double allowed = MAX(query->objective_ms - service_ms, least);
+    if (query->rows_stale || now_ms < server->traffic.brief_until) {
+        allowed *= query->high_priority
+                       ? SasAdmission_SHORT_QUEUE_HIGH_PRIORITY
+                       : SasAdmission_SHORT_QUEUE;
     }
     return MIN(allowed,
                get_deadline_wait(fleet, query, server->service, service_ms));
@@ -50,8 +53,8 @@
 
 /* Whether a request of this entry VM that caches the object is in flight. */
 static bool
-is_warming(const struct sas_fleet *fleet, const struct sas_admit_query *query,
-           int slot, int64_t now_ms)
+is_warming(const struct sas_fleet *fleet,
+           const struct sas_admission_query *query, int slot, int64_t now_ms)
 {
     if (query->objects == NULL) {
         return false;
@@ -60,23 +63,23 @@
         query->objects, SasFleet_At(fleet, slot)->service, query->key,
         SasFleet_GetRef(fleet, slot));
     double limit_ms =
-        SasAdmit_LEARNING * SasServiceTime_Get(query->pace, false);
+        SasAdmission_WARMUP * SasServiceTime_Get(query->service_time, false);
     return sent_at > 0 && (double)(now_ms - sent_at) < limit_ms;
 }
 
 /* Only the owner is expected to have objects cached by other entry VMs'
  * requests. */
 static double
-get_service_ms(const struct sas_admit_query *query, int slot, bool cached)
+get_service_ms(const struct sas_admission_query *query, int slot, bool cached)
 {
     return !cached && slot == query->slots[0]
-               ? SasServiceTime_GetUnseen(query->pace)
-               : SasServiceTime_Get(query->pace, cached);
+               ? SasServiceTime_GetUnseen(query->service_time)
+               : SasServiceTime_Get(query->service_time, cached);
 }
 
 static struct candidate
-evaluate(const struct sas_fleet *fleet, const struct sas_admit_query *query,
-         int slot, int64_t now_ms)
+evaluate(const struct sas_fleet *fleet,
+         const struct sas_admission_query *query, int slot, int64_t now_ms)
 {
     const struct sas_fleet_server *server = SasFleet_At(fleet, slot);
     struct candidate candidate = {.slot = slot};
@@ -138,7 +141,7 @@
 {
     bool uncached = !candidates[0].cached && !candidates[0].warming;
     return uncached && SasTraffic_HasRoom(fleet, candidates[0].slot,
-                                          SasAdmit_SPARE_SLOTS, now_ms)
+                                          SasAdmission_SPARE_SLOTS, now_ms)
                ? &candidates[0]
                : NULL;
 }
@@ -152,8 +155,8 @@
         const struct candidate *candidate = &candidates[i];
         if (!candidate->cached && !candidate->warming &&
             is_in_time(candidate) &&
-            SasTraffic_HasRoom(fleet, candidate->slot, SasAdmit_SPARE_SLOTS,
-                               now_ms)) {
+            SasTraffic_HasRoom(fleet, candidate->slot,
+                               SasAdmission_SPARE_SLOTS, now_ms)) {
             return candidate;
         }
     }
@@ -176,13 +179,13 @@
     return (int64_t)CLAMP(soonest, MIN_RETRY_MS, MAX_RETRY_MS);
 }
 
-struct sas_admit_verdict
-SasAdmit_Judge(const struct sas_fleet *fleet,
-               const struct sas_admit_query *query, int64_t now_ms)
+struct sas_admission_decision
+SasAdmission_Decide(const struct sas_fleet *fleet,
+                    const struct sas_admission_query *query, int64_t now_ms)
 {
-    struct sas_admit_verdict decision = {.slot = SasModel_NONE};
-    struct candidate candidates[SasAdmit_MAX_OWNERS] = {0};
-    int count = MIN(query->count, SasAdmit_MAX_OWNERS);
+    struct sas_admission_decision decision = {.slot = SasModel_NONE};
+    struct candidate candidates[SasAdmission_MAX_OWNERS] = {0};
+    int count = MIN(query->count, SasAdmission_MAX_OWNERS);
     if (count < 1) {
         return decision;
     }
@@ -203,7 +206,7 @@
         return decision;
     }
     decision.slot = best->slot;
-    decision.known = best->cached;
+    decision.cached = best->cached;
     decision.wait_ms = best->wait_ms;
     decision.work_ms = best->service_ms;
     return decision;
--- a/packages/core/tests/test_admit.c
+++ b/packages/core/tests/test_admission.c
@@ -4,7 +4,7 @@
 #include <cmocka.h>
 
 #include "fleet_support.h"
-#include "sas/admit.h"
+#include "sas/admission.h"
 #include "sas/traffic.h"
 
 #define SERVERS 3
@@ -25,7 +25,7 @@
     bool new_route; /* a lenient objective, no answer yet */
 };
 
-static struct sas_admit_verdict
+static struct sas_admission_decision
 decide(const struct scene *scene)
 {
     struct sas_fleet *fleet = new_fleet();
@@ -50,18 +50,19 @@
         SasServiceTime_Init(&service_time, 5.0 * UNCACHED_MS);
     }
     const int slots[SERVERS] = {OWNER, NEXT, 2};
-    struct sas_admit_query query = {
+    struct sas_admission_query query = {
         .slots = slots,
         .count = SERVERS,
         .objects = objects,
-        .pace = &service_time,
+        .service_time = &service_time,
         .key = KEY,
-        .goal_ms = OBJECTIVE_MS,
+        .objective_ms = OBJECTIVE_MS,
         .left_ms = scene->left_ms > 0 ? scene->left_ms : 10000,
-        .urgent = scene->high_priority,
-        .in_doubt = scene->rows_stale,
+        .high_priority = scene->high_priority,
+        .rows_stale = scene->rows_stale,
     };
-    struct sas_admit_verdict decision = SasAdmit_Judge(fleet, &query, 1000);
+    struct sas_admission_decision decision =
+        SasAdmission_Decide(fleet, &query, 1000);
     SasCachedObjects_Free(objects);
     SasFleet_Free(fleet);
     return decision;
@@ -77,9 +78,9 @@
     struct scene idle = {.cached = {[OWNER] = true}};
     assert_int_equal(decide(&idle).slot, OWNER);
     struct scene burst = {.loads = {[OWNER] = 9}, .cached = {[OWNER] = true}};
-    struct sas_admit_verdict decision = decide(&burst);
+    struct sas_admission_decision decision = decide(&burst);
     assert_int_equal(decision.slot, OWNER);
-    assert_true(decision.known);
+    assert_true(decision.cached);
     assert_true(decision.wait_ms == 7 * CACHED_MS / 3.0);
 }
 
@@ -91,14 +92,14 @@
 {
     (void)state;
     struct scene scene = {.loads = {[OWNER] = 12}, .cached = {[OWNER] = true}};
-    struct sas_admit_verdict decision = decide(&scene);
+    struct sas_admission_decision decision = decide(&scene);
     assert_int_equal(decision.slot, NEXT);
-    assert_false(decision.known);
+    assert_false(decision.cached);
     scene.loads[OWNER] = 5;
     scene.cached[NEXT] = true;
     decision = decide(&scene);
     assert_int_equal(decision.slot, NEXT);
-    assert_true(decision.known);
+    assert_true(decision.cached);
     scene.loads[OWNER] = 0;
     assert_int_equal(decide(&scene).slot, OWNER);
 }
@@ -114,7 +115,7 @@
         .loads = {[OWNER] = 15, [NEXT] = 3},
         .cached = {[OWNER] = true},
     };
-    struct sas_admit_verdict decision = decide(&scene);
+    struct sas_admission_decision decision = decide(&scene);
     assert_int_equal(decision.slot, SasModel_NONE);
     /* 13 requests of 90 ms in 3 slots, less the allowed wait of 240 ms. */
     assert_in_range(decision.retry_after_ms, 140, 160);
@@ -202,8 +203,8 @@
 test_refuses_without_a_server(void **state)
 {
     (void)state;
-    struct sas_admit_query query = {.count = 0};
-    assert_int_equal(SasAdmit_Judge(NULL, &query, 0).slot, SasModel_NONE);
+    struct sas_admission_query query = {.count = 0};
+    assert_int_equal(SasAdmission_Decide(NULL, &query, 0).slot, SasModel_NONE);
 }
 
 int
--- a/packages/gateway/src/relay_call.h
+++ b/packages/gateway/src/relay_call.h
@@ -4,7 +4,7 @@
 #define SAS_RELAY_CALL_H
 
 #include "relay.h"
-#include "sas/admit.h"
+#include "sas/admission.h"
 #include "sas/shared_limits.h"
 #include "sas/grey.h"
 #include "sas/http.h"
--- a/packages/gateway/src/relay_choose.c
+++ b/packages/gateway/src/relay_choose.c
@@ -210,7 +210,7 @@
         const struct sas_fleet_server *server = SasFleet_At(fleet, slots[i]);
         if (!SasTraffic_IsGrey(server, now_ms) &&
             now_ms >= server->traffic.brief_until &&
-            SasTraffic_HasRoom(fleet, slots[i], SasAdmit_SPARE_SLOTS,
+            SasTraffic_HasRoom(fleet, slots[i], SasAdmission_SPARE_SLOTS,
                                now_ms)) {
             slots[0] = slots[i];
             return 1;
@@ -318,21 +318,22 @@
     SasSteering_Take(options->steering, &query, now_ms, &call->grant);
 }
 
-static struct sas_admit_verdict
+static struct sas_admission_decision
 decide(struct relay_call *call, const int *slots, int count, int64_t now_ms)
 {
-    struct sas_admit_query query = {
+    struct sas_admission_query query = {
         .slots = slots,
         .count = count,
         .objects = call->keyed ? call->relay->objects : NULL,
-        .pace = &SasRelay_GetRouteState(call)->service_time,
+        .service_time = &SasRelay_GetRouteState(call)->service_time,
         .key = call->key,
-        .goal_ms = (double)(call->began_at + get_objective(call) - now_ms),
+        .objective_ms =
+            (double)(call->began_at + get_objective(call) - now_ms),
         .left_ms = (double)(call->deadline_at - now_ms),
-        .urgent = call->route->urgent,
-        .in_doubt = call->relay->rows_stale,
+        .high_priority = call->route->urgent,
+        .rows_stale = call->relay->rows_stale,
     };
-    return SasAdmit_Judge(call->relay->options.fleet, &query, now_ms);
+    return SasAdmission_Decide(call->relay->options.fleet, &query, now_ms);
 }
 
 void
@@ -377,17 +378,18 @@
         count = filter_idle(call, slots, count, now_ms);
         reason = "suspect";
     }
-    struct sas_admit_verdict verdict = decide(call, slots, count, now_ms);
-    call->wait_ms = verdict.wait_ms;
-    if (verdict.slot != SasModel_NONE) {
-        call->cached = verdict.known;
-        call->work_ms = verdict.work_ms;
+    struct sas_admission_decision decision =
+        decide(call, slots, count, now_ms);
+    call->wait_ms = decision.wait_ms;
+    if (decision.slot != SasModel_NONE) {
+        call->cached = decision.cached;
+        call->work_ms = decision.work_ms;
         if (call->keyed && !call->cached) {
             SasCachedObjects_NoteLoading(
                 relay->objects, call->service, call->key,
-                SasFleet_GetRef(fleet, verdict.slot), now_ms);
+                SasFleet_GetRef(fleet, decision.slot), now_ms);
         }
-        SasRelay_Send(call, verdict.slot);
+        SasRelay_Send(call, decision.slot);
         return;
     }
     if (count > 0) {
@@ -395,5 +397,6 @@
         reason = "owner full";
     }
     end_unserved(call, reason,
-                 count > 0 ? verdict.retry_after_ms : SasRelay_RETRY_AFTER_MS);
+                 count > 0 ? decision.retry_after_ms
+                           : SasRelay_RETRY_AFTER_MS);
 }
--- a/tools/emulate.c
+++ b/tools/emulate.c
@@ -21,7 +21,7 @@
 #include <stdlib.h>
 #include <string.h>
 
-#include "sas/admit.h"
+#include "sas/admission.h"
 #include "sas/fleet.h"
 #include "sas/owner.h"
 #include "sas/traffic.h"
@@ -332,25 +332,25 @@
 static int
 judge(struct request *request, const int *slots, int count)
 {
-    struct sas_admit_query query = {
+    struct sas_admission_query query = {
         .slots = slots,
         .count = count,
         .objects = objects[request->vm],
-        .pace = &service_times[request->vm],
+        .service_time = &service_times[request->vm],
         .key = get_key(request),
-        .goal_ms = options.goal_ms,
+        .objective_ms = options.goal_ms,
         .left_ms = options.limit_ms,
     };
-    struct sas_admit_verdict verdict =
-        SasAdmit_Judge(fleets[request->vm], &query, (int64_t)now_ms);
-    request->known = verdict.known;
-    if (verdict.slot != SasModel_NONE && !verdict.known) {
+    struct sas_admission_decision decision =
+        SasAdmission_Decide(fleets[request->vm], &query, (int64_t)now_ms);
+    request->known = decision.cached;
+    if (decision.slot != SasModel_NONE && !decision.cached) {
         SasCachedObjects_NoteLoading(
             objects[request->vm], 0, get_key(request),
-            SasFleet_GetRef(fleets[request->vm], verdict.slot),
+            SasFleet_GetRef(fleets[request->vm], decision.slot),
             (int64_t)now_ms);
     }
-    return verdict.slot;
+    return decision.slot;
 }
 
 static int
