--- a/packages/core/include/sas/limits.h
+++ b/packages/core/include/sas/limits.h
@@ -25,7 +25,7 @@
 
 /* Steering. */
 #define SasSteer_SPILL_AFTER_MS 50 /* queue time in the home region */
-#define SasSteer_DEFAULT_PLACEMENT "owned-first" /* see sas/place.h */
+#define SasSteer_DEFAULT_PLACEMENT "owned-first" /* see sas/placement.h */
 #define SasSteer_FIRST_ANSWER_BYTES 16384 /* estimate before any answer */
 
 /* Requests. HOLD_BYTES of an answer are buffered before any byte goes to the
--- a/packages/core/include/sas/place.h
+++ b/packages/core/include/sas/placement.h
@@ -1,11 +1,11 @@
-/* place - load balancing policies: which backend server gets a request.
+/* placement - load balancing policies: which backend server gets a request.
  *
- * The caller fills in one struct sas_place_server for each candidate server
- * and calls a policy's pick function. It returns an index into that array, or
- * SasModel_NONE when no usable server has free capacity; the caller then waits
- * briefly, spills over to another region or refuses the request. A policy
- * keeps no pointer to the array and reads no clock. docs/notes-placement.md
- * compares the policies.
+ * The caller fills in one struct sas_placement_server for each candidate
+ * server and calls a policy's pick function. It returns an index into that
+ * array, or SasModel_NONE when no usable server has free capacity; the caller
+ * then waits briefly, spills over to another region or refuses the request. A
+ * policy keeps no pointer to the array and reads no clock.
+ * docs/notes-placement.md compares the policies.
  *
  *   random           any server with free capacity
  *   round-robin      the next server with free capacity
@@ -22,14 +22,14 @@
  * The first three use only this entry VM's own requests. The estimated load is
  * the own requests plus the last reported load from other entry VMs. A report
  * decays exponentially with its age towards the mean over all servers, with
- * the half-life SasPlace_HALF_LIFE_MS.
+ * the half-life SasPlacement_HALF_LIFE_MS.
  *
  * The caller must enter a server that shed a request as full (reported_load =
- * slots + queue) whatever the server reports, and set shed_lately for
- * SasPlace_SHED_MS; owned-first borrows no slot from it during that time.
+ * slots + queue) whatever the server reports, and set shed_recently for
+ * SasPlacement_SHED_MS; owned-first borrows no slot from it during that time.
  */
-#ifndef SAS_PLACE_H
-#define SAS_PLACE_H
+#ifndef SAS_PLACEMENT_H
+#define SAS_PLACEMENT_H
 
 #include <glib.h>
 #include <stdbool.h>
@@ -37,46 +37,46 @@
 
 #include "sas/limits.h"
 
-#define SasPlace_HALF_LIFE_MS 30
+#define SasPlacement_HALF_LIFE_MS 30
 
-/* How long shed_lately stays set after a server shed a request. */
-#define SasPlace_SHED_MS 1000
+/* How long shed_recently stays set after a server shed a request. */
+#define SasPlacement_SHED_MS 1000
 
 /* The cone of Zhou, Tan and Shroff, "Flexible Load Balancing with
  * Multi-dimensional State-space Collapse": the state is inside while the
  * shortest queue is at least this share of the longest. */
-#define SasPlace_CONE 0.5
+#define SasPlacement_CONE 0.5
 
-struct sas_place_server {
+struct sas_placement_server {
     int backend;           /* handle */
     int slots;             /* execution slots */
     int queue;             /* requests that may wait at the server */
     int own_in_flight;     /* sent by this entry VM, not yet answered */
     double reported_load;  /* from other entry VMs, running and queued */
     int64_t report_age_ms; /* negative: never reported */
-    int own_share;         /* execution slots that this entry VM owns */
-    bool usable;           /* neither leaving, down, nor suspected */
+    int owned_slots;       /* execution slots that this entry VM owns */
+    bool eligible;         /* neither leaving, down, nor suspected */
     bool same_domain;      /* in this entry VM's failure domain */
     bool cold;             /* started recently, serves slowly */
-    bool shed_lately;      /* refused a request of this entry VM */
+    bool shed_recently;    /* refused a request of this entry VM */
 };
 
-struct sas_place_policy {
-    int (*pick)(struct sas_place_policy *self,
-                const struct sas_place_server *servers, int count,
+struct sas_placement_policy {
+    int (*pick)(struct sas_placement_policy *self,
+                const struct sas_placement_server *servers, int count,
                 GRand *random);
 };
 
 /* Returns the policy with that name, or NULL for an unknown one. */
-struct sas_place_policy *SasPlace_Create(const char *name);
-void SasPlace_Free(struct sas_place_policy *policy);
+struct sas_placement_policy *SasPlacement_Create(const char *name);
+void SasPlacement_Free(struct sas_placement_policy *policy);
 
 /* The name of policy number i, or NULL past the last. */
-const char *SasPlace_GetName(int i);
+const char *SasPlacement_GetName(int i);
 
 /* Fills in loads[0..count) with the estimated load of each server, in
  * requests. */
-void SasPlace_EstimateLoads(const struct sas_place_server *servers, int count,
-                            double *loads);
+void SasPlacement_EstimateLoads(const struct sas_placement_server *servers,
+                                int count, double *loads);
 
 #endif
--- a/packages/core/src/place.c
+++ b/packages/core/src/placement.c
@@ -1,4 +1,4 @@
-#include "sas/place.h"
+#include "sas/placement.h"
 
 #include <math.h>
 #include <string.h>
@@ -9,64 +9,67 @@
 #define LOCAL_BONUS 1.0 /* ranks a local server with a free slot first */
 
 struct policy_state {
-    struct sas_place_policy policy;
+    struct sas_placement_policy policy;
     int next; /* next index of round-robin */
     double *loads;
     int capacity; /* number of elements in loads */
 };
 
-static int pick_random(struct sas_place_policy *self,
-                       const struct sas_place_server *servers, int count,
+static int pick_random(struct sas_placement_policy *self,
+                       const struct sas_placement_server *servers, int count,
                        GRand *random);
-static int pick_round_robin(struct sas_place_policy *self,
-                            const struct sas_place_server *servers, int count,
-                            GRand *random);
-static int pick_least_in_flight(struct sas_place_policy *self,
-                                const struct sas_place_server *servers,
+static int pick_round_robin(struct sas_placement_policy *self,
+                            const struct sas_placement_server *servers,
+                            int count, GRand *random);
+static int pick_least_in_flight(struct sas_placement_policy *self,
+                                const struct sas_placement_server *servers,
                                 int count, GRand *random);
-static int pick_two_choices(struct sas_place_policy *self,
-                            const struct sas_place_server *servers, int count,
-                            GRand *random);
-static int pick_least_load(struct sas_place_policy *self,
-                           const struct sas_place_server *servers, int count,
-                           GRand *random);
-static int pick_owned(struct sas_place_policy *self,
-                      const struct sas_place_server *servers, int count,
+static int pick_two_choices(struct sas_placement_policy *self,
+                            const struct sas_placement_server *servers,
+                            int count, GRand *random);
+static int pick_least_load(struct sas_placement_policy *self,
+                           const struct sas_placement_server *servers,
+                           int count, GRand *random);
+static int pick_owned(struct sas_placement_policy *self,
+                      const struct sas_placement_server *servers, int count,
                       GRand *random);
-static int pick_owned_first(struct sas_place_policy *self,
-                            const struct sas_place_server *servers, int count,
-                            GRand *random);
-static int pick_cone(struct sas_place_policy *self,
-                     const struct sas_place_server *servers, int count,
+static int pick_owned_first(struct sas_placement_policy *self,
+                            const struct sas_placement_server *servers,
+                            int count, GRand *random);
+static int pick_cone(struct sas_placement_policy *self,
+                     const struct sas_placement_server *servers, int count,
                      GRand *random);
-static double *estimate_loads(struct sas_place_policy *self,
-                              const struct sas_place_server *servers,
+static double *estimate_loads(struct sas_placement_policy *self,
+                              const struct sas_placement_server *servers,
                               int count);
 /* Cost functions: the server with the lowest cost is picked; INFINITY excludes
  * a server. "Local" means in this entry VM's failure domain. */
-static double cost_any(const struct sas_place_server *server, double load);
-static double cost_in_flight(const struct sas_place_server *server,
+static double cost_any(const struct sas_placement_server *server, double load);
+static double cost_in_flight(const struct sas_placement_server *server,
                              double load);
-static double cost_load(const struct sas_place_server *server, double load);
-static double cost_local_load(const struct sas_place_server *server,
+static double cost_load(const struct sas_placement_server *server,
+                        double load);
+static double cost_local_load(const struct sas_placement_server *server,
                               double load);
-static double cost_local_slot(const struct sas_place_server *server,
+static double cost_local_slot(const struct sas_placement_server *server,
                               double load);
-static double cost_idle_slot(const struct sas_place_server *server,
+static double cost_idle_slot(const struct sas_placement_server *server,
                              double load);
-static double cost_owned(const struct sas_place_server *server, double load);
-static bool has_local_slot(const struct sas_place_server *server, double load);
-static int pick_cheapest(const struct sas_place_server *servers,
+static double cost_owned(const struct sas_placement_server *server,
+                         double load);
+static bool has_local_slot(const struct sas_placement_server *server,
+                           double load);
+static int pick_cheapest(const struct sas_placement_server *servers,
                          const double *loads, int count, GRand *random,
-                         double (*cost)(const struct sas_place_server *,
+                         double (*cost)(const struct sas_placement_server *,
                                         double));
-static bool is_in_cone(const struct sas_place_server *servers,
+static bool is_in_cone(const struct sas_placement_server *servers,
                        const double *loads, int count);
 
 static const struct {
     const char *name;
-    int (*pick)(struct sas_place_policy *, const struct sas_place_server *,
-                int, GRand *);
+    int (*pick)(struct sas_placement_policy *,
+                const struct sas_placement_server *, int, GRand *);
 } policies[] = {
     {"random", pick_random},
     {"round-robin", pick_round_robin},
@@ -78,8 +81,8 @@
     {"cone", pick_cone},
 };
 
-struct sas_place_policy *
-SasPlace_Create(const char *name)
+struct sas_placement_policy *
+SasPlacement_Create(const char *name)
 {
     for (gsize i = 0; i < G_N_ELEMENTS(policies); i++) {
         if (strcmp(policies[i].name, name) == 0) {
@@ -92,7 +95,7 @@
 }
 
 void
-SasPlace_Free(struct sas_place_policy *policy)
+SasPlacement_Free(struct sas_placement_policy *policy)
 {
     if (policy != NULL) {
         g_free(((struct policy_state *)policy)->loads);
@@ -101,7 +104,7 @@
 }
 
 const char *
-SasPlace_GetName(int i)
+SasPlacement_GetName(int i)
 {
     return i < (int)G_N_ELEMENTS(policies) ? policies[i].name : NULL;
 }
@@ -109,23 +112,23 @@
 /* Own requests are exact, so they always count in full; only the reports and
  * their mean, which lag, are weighted by age. */
 void
-SasPlace_EstimateLoads(const struct sas_place_server *servers, int count,
-                       double *loads)
+SasPlacement_EstimateLoads(const struct sas_placement_server *servers,
+                           int count, double *loads)
 {
     double weights = 0;
     double weighted = 0;
     for (int i = 0; i < count; i++) {
-        const struct sas_place_server *server = &servers[i];
-        loads[i] =
-            server->report_age_ms < 0
-                ? 0
-                : exp2(-(double)server->report_age_ms / SasPlace_HALF_LIFE_MS);
+        const struct sas_placement_server *server = &servers[i];
+        loads[i] = server->report_age_ms < 0
+                       ? 0
+                       : exp2(-(double)server->report_age_ms /
+                              SasPlacement_HALF_LIFE_MS);
         weights += loads[i] * server->slots;
         weighted += loads[i] * server->reported_load;
     }
     double mean_per_slot = weights > 0 ? weighted / weights : 0;
     for (int i = 0; i < count; i++) {
-        const struct sas_place_server *server = &servers[i];
+        const struct sas_placement_server *server = &servers[i];
         double weight = loads[i];
         loads[i] = server->own_in_flight + weight * server->reported_load +
                    (1 - weight) * mean_per_slot * server->slots;
@@ -133,16 +136,17 @@
 }
 
 static int
-pick_random(struct sas_place_policy *self,
-            const struct sas_place_server *servers, int count, GRand *random)
+pick_random(struct sas_placement_policy *self,
+            const struct sas_placement_server *servers, int count,
+            GRand *random)
 {
     (void)self;
     return pick_cheapest(servers, NULL, count, random, cost_any);
 }
 
 static int
-pick_round_robin(struct sas_place_policy *self,
-                 const struct sas_place_server *servers, int count,
+pick_round_robin(struct sas_placement_policy *self,
+                 const struct sas_placement_server *servers, int count,
                  GRand *random)
 {
     (void)random;
@@ -158,8 +162,8 @@
 }
 
 static int
-pick_least_in_flight(struct sas_place_policy *self,
-                     const struct sas_place_server *servers, int count,
+pick_least_in_flight(struct sas_placement_policy *self,
+                     const struct sas_placement_server *servers, int count,
                      GRand *random)
 {
     (void)self;
@@ -169,8 +173,8 @@
 /* Falls back to all servers when neither of the two has free capacity, so that
  * SasModel_NONE means that no server has any. */
 static int
-pick_two_choices(struct sas_place_policy *self,
-                 const struct sas_place_server *servers, int count,
+pick_two_choices(struct sas_placement_policy *self,
+                 const struct sas_placement_server *servers, int count,
                  GRand *random)
 {
     double *loads = estimate_loads(self, servers, count);
@@ -187,8 +191,8 @@
 }
 
 static int
-pick_least_load(struct sas_place_policy *self,
-                const struct sas_place_server *servers, int count,
+pick_least_load(struct sas_placement_policy *self,
+                const struct sas_placement_server *servers, int count,
                 GRand *random)
 {
     double *loads = estimate_loads(self, servers, count);
@@ -196,16 +200,17 @@
 }
 
 static int
-pick_owned(struct sas_place_policy *self,
-           const struct sas_place_server *servers, int count, GRand *random)
+pick_owned(struct sas_placement_policy *self,
+           const struct sas_placement_server *servers, int count,
+           GRand *random)
 {
     double *loads = estimate_loads(self, servers, count);
     return pick_cheapest(servers, loads, count, random, cost_owned);
 }
 
 static int
-pick_owned_first(struct sas_place_policy *self,
-                 const struct sas_place_server *servers, int count,
+pick_owned_first(struct sas_placement_policy *self,
+                 const struct sas_placement_server *servers, int count,
                  GRand *random)
 {
     double *loads = estimate_loads(self, servers, count);
@@ -219,8 +224,8 @@
  * inside the cone is delay-optimal in heavy traffic, so a local server is
  * picked; outside the cone only the shortest queue is optimal. */
 static int
-pick_cone(struct sas_place_policy *self,
-          const struct sas_place_server *servers, int count, GRand *random)
+pick_cone(struct sas_placement_policy *self,
+          const struct sas_placement_server *servers, int count, GRand *random)
 {
     double *loads = estimate_loads(self, servers, count);
     int picked = pick_cheapest(servers, loads, count, random, cost_local_slot);
@@ -233,23 +238,23 @@
 }
 
 static double *
-estimate_loads(struct sas_place_policy *self,
-               const struct sas_place_server *servers, int count)
+estimate_loads(struct sas_placement_policy *self,
+               const struct sas_placement_server *servers, int count)
 {
     struct policy_state *state = (struct policy_state *)self;
     if (count > state->capacity) {
         state->loads = g_renew(double, state->loads, count);
         state->capacity = count;
     }
-    SasPlace_EstimateLoads(servers, count, state->loads);
+    SasPlacement_EstimateLoads(servers, count, state->loads);
     return state->loads;
 }
 
 /* Breaks ties at random with equal probability. */
 static int
-pick_cheapest(const struct sas_place_server *servers, const double *loads,
+pick_cheapest(const struct sas_placement_server *servers, const double *loads,
               int count, GRand *random,
-              double (*cost)(const struct sas_place_server *, double))
+              double (*cost)(const struct sas_placement_server *, double))
 {
     int best = SasModel_NONE;
     double best_cost = INFINITY;
@@ -270,16 +275,16 @@
 }
 
 static double
-cost_any(const struct sas_place_server *server, double load)
+cost_any(const struct sas_placement_server *server, double load)
 {
     (void)load;
-    bool has_room = server->usable &&
+    bool has_room = server->eligible &&
                     server->own_in_flight < server->slots + server->queue;
     return has_room ? 0 : INFINITY;
 }
 
 static double
-cost_in_flight(const struct sas_place_server *server, double load)
+cost_in_flight(const struct sas_placement_server *server, double load)
 {
     (void)load;
     return cost_any(server, 0) + (double)server->own_in_flight / server->slots;
@@ -287,22 +292,22 @@
 
 /* A cold server's requests take longer, so each of them counts for more. */
 static double
-cost_load(const struct sas_place_server *server, double load)
+cost_load(const struct sas_placement_server *server, double load)
 {
-    if (!server->usable || load >= server->slots + server->queue) {
+    if (!server->eligible || load >= server->slots + server->queue) {
         return INFINITY;
     }
     return load * (server->cold ? COLD_WEIGHT : 1) / server->slots;
 }
 
 static double
-cost_local_load(const struct sas_place_server *server, double load)
+cost_local_load(const struct sas_placement_server *server, double load)
 {
     return server->same_domain ? cost_load(server, load) : INFINITY;
 }
 
 static double
-cost_local_slot(const struct sas_place_server *server, double load)
+cost_local_slot(const struct sas_placement_server *server, double load)
 {
     return has_local_slot(server, load) ? cost_local_load(server, load)
                                         : INFINITY;
@@ -313,24 +318,24 @@
  * would attract all borrowing and refuse it again and again. Its 503 is the
  * only sign of that, so a shed request stops borrowing for a while. */
 static double
-cost_idle_slot(const struct sas_place_server *server, double load)
+cost_idle_slot(const struct sas_placement_server *server, double load)
 {
     int max_load = server->slots + MIN(1, server->queue);
-    bool is_idle = load + 1 <= max_load && !server->shed_lately;
+    bool is_idle = load + 1 <= max_load && !server->shed_recently;
     return is_idle ? cost_load(server, load) : INFINITY;
 }
 
 /* Excludes cold servers: being slow outweighs being local. */
 static bool
-has_local_slot(const struct sas_place_server *server, double load)
+has_local_slot(const struct sas_placement_server *server, double load)
 {
     return server->same_domain && !server->cold && load + 1 <= server->slots;
 }
 
 static double
-cost_owned(const struct sas_place_server *server, double load)
+cost_owned(const struct sas_placement_server *server, double load)
 {
-    if (!server->usable || server->own_in_flight >= server->own_share) {
+    if (!server->eligible || server->own_in_flight >= server->owned_slots) {
         return INFINITY;
     }
     double cost = load * (server->cold ? COLD_WEIGHT : 1) / server->slots;
@@ -338,16 +343,16 @@
 }
 
 static bool
-is_in_cone(const struct sas_place_server *servers, const double *loads,
+is_in_cone(const struct sas_placement_server *servers, const double *loads,
            int count)
 {
     double shortest = INFINITY;
     double longest = 0;
     for (int i = 0; i < count; i++) {
-        if (servers[i].usable) {
+        if (servers[i].eligible) {
             shortest = fmin(shortest, loads[i] / servers[i].slots);
             longest = fmax(longest, loads[i] / servers[i].slots);
         }
     }
-    return shortest >= SasPlace_CONE * longest;
+    return shortest >= SasPlacement_CONE * longest;
 }
--- a/packages/core/tests/test_place.c
+++ b/packages/core/tests/test_placement.c
@@ -5,13 +5,13 @@
 #include <cmocka.h>
 
 #include "sas/model.h"
-#include "sas/place.h"
+#include "sas/placement.h"
 
 #define SERVERS 4
 #define DRAWS 4000
 
 struct fixture {
-    struct sas_place_server servers[SERVERS];
+    struct sas_placement_server servers[SERVERS];
     GRand *random;
 };
 
@@ -20,12 +20,12 @@
 {
     struct fixture *fixture = g_new0(struct fixture, 1);
     for (int i = 0; i < SERVERS; i++) {
-        fixture->servers[i] = (struct sas_place_server){
+        fixture->servers[i] = (struct sas_placement_server){
             .backend = 10 + i,
             .slots = 3,
             .queue = 1,
-            .own_share = 1,
-            .usable = true,
+            .owned_slots = 1,
+            .eligible = true,
             .same_domain = i < 2,
         };
     }
@@ -46,48 +46,48 @@
 static int
 pick_once(struct fixture *fixture, const char *name)
 {
-    struct sas_place_policy *policy = SasPlace_Create(name);
+    struct sas_placement_policy *policy = SasPlacement_Create(name);
     int picked =
         policy->pick(policy, fixture->servers, SERVERS, fixture->random);
-    SasPlace_Free(policy);
+    SasPlacement_Free(policy);
     return picked;
 }
 
 static void
 count_picks(struct fixture *fixture, const char *name, int *picks)
 {
-    struct sas_place_policy *policy = SasPlace_Create(name);
+    struct sas_placement_policy *policy = SasPlacement_Create(name);
     memset(picks, 0, sizeof(int) * SERVERS);
     for (int i = 0; i < DRAWS; i++) {
         picks[policy->pick(policy, fixture->servers, SERVERS,
                            fixture->random)]++;
     }
-    SasPlace_Free(policy);
+    SasPlacement_Free(policy);
 }
 
 static void
 test_unknown_name_is_refused(void **state)
 {
     (void)state;
-    assert_null(SasPlace_Create("no-such"));
-    assert_null(SasPlace_GetName(1000));
+    assert_null(SasPlacement_Create("no-such"));
+    assert_null(SasPlacement_GetName(1000));
 }
 
 static void
 test_no_policy_picks_a_server_without_free_capacity(void **state)
 {
     struct fixture *fixture = *state;
-    for (int p = 0; SasPlace_GetName(p) != NULL; p++) {
-        const char *name = SasPlace_GetName(p);
+    for (int p = 0; SasPlacement_GetName(p) != NULL; p++) {
+        const char *name = SasPlacement_GetName(p);
         for (int i = 0; i < SERVERS; i++) {
-            fixture->servers[i].usable = i == 2;
+            fixture->servers[i].eligible = i == 2;
             fixture->servers[i].own_in_flight = 0;
         }
         assert_int_equal(pick_once(fixture, name), 2);
         fixture->servers[2].own_in_flight = 4;
         assert_int_equal(pick_once(fixture, name), SasModel_NONE);
         fixture->servers[2].own_in_flight = 0;
-        fixture->servers[2].usable = false;
+        fixture->servers[2].eligible = false;
         assert_int_equal(pick_once(fixture, name), SasModel_NONE);
     }
 }
@@ -99,9 +99,9 @@
     for (int i = 0; i < SERVERS; i++) {
         fixture->servers[i].same_domain = true;
     }
-    for (int p = 0; SasPlace_GetName(p) != NULL; p++) {
+    for (int p = 0; SasPlacement_GetName(p) != NULL; p++) {
         int picks[SERVERS];
-        count_picks(fixture, SasPlace_GetName(p), picks);
+        count_picks(fixture, SasPlacement_GetName(p), picks);
         for (int i = 0; i < SERVERS; i++) {
             assert_in_range(picks[i], DRAWS / 5, DRAWS * 3 / 10);
         }
@@ -112,15 +112,15 @@
 test_round_robin_skips_unusable_servers(void **state)
 {
     struct fixture *fixture = *state;
-    struct sas_place_policy *policy = SasPlace_Create("round-robin");
-    fixture->servers[1].usable = false;
+    struct sas_placement_policy *policy = SasPlacement_Create("round-robin");
+    fixture->servers[1].eligible = false;
     const int expected[] = {0, 2, 3, 0};
     for (int i = 0; i < 4; i++) {
         assert_int_equal(
             policy->pick(policy, fixture->servers, SERVERS, fixture->random),
             expected[i]);
     }
-    SasPlace_Free(policy);
+    SasPlacement_Free(policy);
 }
 
 static void
@@ -130,15 +130,15 @@
     double loads[SERVERS];
     fixture->servers[0].reported_load = 3;
     fixture->servers[3].report_age_ms = -1;
-    SasPlace_EstimateLoads(fixture->servers, SERVERS, loads);
+    SasPlacement_EstimateLoads(fixture->servers, SERVERS, loads);
     assert_true(loads[0] == 3 && loads[1] == 0);
     assert_true(fabs(loads[3] - 1.0) < 1e-9);
-    fixture->servers[0].report_age_ms = SasPlace_HALF_LIFE_MS;
-    SasPlace_EstimateLoads(fixture->servers, SERVERS, loads);
+    fixture->servers[0].report_age_ms = SasPlacement_HALF_LIFE_MS;
+    SasPlacement_EstimateLoads(fixture->servers, SERVERS, loads);
     assert_true(loads[0] > 1.5 && loads[0] < 3);
     fixture->servers[0].own_in_flight = 2;
-    fixture->servers[0].report_age_ms = 1000 * SasPlace_HALF_LIFE_MS;
-    SasPlace_EstimateLoads(fixture->servers, SERVERS, loads);
+    fixture->servers[0].report_age_ms = 1000 * SasPlacement_HALF_LIFE_MS;
+    SasPlacement_EstimateLoads(fixture->servers, SERVERS, loads);
     assert_true(fabs(loads[0] - 2.0) < 1e-9);
 }
 
@@ -166,7 +166,7 @@
     int picks[SERVERS];
     count_picks(fixture, "least-load", picks);
     assert_int_equal(picks[0], 0);
-    fixture->servers[1].usable = false;
+    fixture->servers[1].eligible = false;
     count_picks(fixture, "owned", picks);
     assert_int_equal(picks[0], 0);
 }
@@ -212,7 +212,7 @@
     assert_int_equal(pick_once(fixture, "owned-first"), SasModel_NONE);
     fixture->servers[2].reported_load = 1;
     assert_int_equal(pick_once(fixture, "owned-first"), 2);
-    fixture->servers[2].shed_lately = true;
+    fixture->servers[2].shed_recently = true;
     assert_int_equal(pick_once(fixture, "owned-first"), SasModel_NONE);
 }
 
--- a/packages/node/src/router.c
+++ b/packages/node/src/router.c
@@ -46,16 +46,17 @@
     for (int i = 0; i < model->backend_count; i++) {
         router->backends[i].last_reached_at = (int64_t)uv_now(options->loop);
     }
-    router->servers = g_new0(struct sas_place_server, model->backend_count);
+    router->servers =
+        g_new0(struct sas_placement_server, model->backend_count);
     router->answer_bytes = g_new0(double, model->service_count);
     for (int i = 0; i < model->service_count; i++) {
         router->answer_bytes[i] = SasSteer_FIRST_ANSWER_BYTES;
     }
     const char *placement = options->settings->placement;
     router->placement =
-        SasPlace_Create(placement != NULL && placement[0] != '\0'
-                            ? placement
-                            : SasSteer_DEFAULT_PLACEMENT);
+        SasPlacement_Create(placement != NULL && placement[0] != '\0'
+                                ? placement
+                                : SasSteer_DEFAULT_PLACEMENT);
     if (router->placement == NULL) {
         SasError_Set(error, SAS_EINVAL, "steer.open", NULL,
                      "unknown placement policy %s", placement);
@@ -86,7 +87,7 @@
     SasPlan_Free(&router->plan);
     SasLookup_Close(&router->lookup);
     SasMeasure_Close(&router->measure);
-    SasPlace_Free(router->placement);
+    SasPlacement_Free(router->placement);
     uv_close((uv_handle_t *)&router->timer, on_timer_closed);
 }
 
--- a/packages/node/src/router_acquire.c
+++ b/packages/node/src/router_acquire.c
@@ -49,7 +49,7 @@
 }
 
 /* One backend server as input of the placement policy. */
-static struct sas_place_server
+static struct sas_placement_server
 describe_server(const struct sas_router *router,
                 const struct sas_router_query *query, int backend)
 {
@@ -59,25 +59,25 @@
     int64_t now = SasRouterState_GetNow(router);
     int others =
         measured->running + measured->queued - measured->own_at_report;
-    struct sas_place_server server = {
+    struct sas_placement_server server = {
         .backend = backend,
         .slots = model->backends[backend].slots,
         .queue = router->options.settings->server_queue,
         .own_in_flight = row->in_flight,
-        .own_share = row->owned_slots,
+        .owned_slots = row->owned_slots,
         .reported_load = MAX(others, 0),
         .report_age_ms = measured->reported ? now - measured->report_ms : -1,
-        .usable = is_usable(router, query, backend),
+        .eligible = is_usable(router, query, backend),
         .same_domain = model->backends[backend].domain ==
                        model->vms[router->options.own_vm].domain,
     };
-    server.shed_lately =
-        measured->shed && now - measured->shed_ms < SasPlace_SHED_MS;
+    server.shed_recently =
+        measured->shed && now - measured->shed_ms < SasPlacement_SHED_MS;
     if (measured->shed && now - measured->shed_ms < SasMeasure_SHED_MS) {
         server.reported_load = server.slots + server.queue;
     }
     if (query->isolated && (row->in_flight > 0 || server.reported_load > 0)) {
-        server.usable = false;
+        server.eligible = false;
     }
     return server;
 }
@@ -87,7 +87,7 @@
  * different ones. With two of them on one server, a crash caused by one would
  * also quarantine the other. */
 static int
-choose_isolated(const struct sas_place_server *servers, int count,
+choose_isolated(const struct sas_placement_server *servers, int count,
                 uint64_t fingerprint)
 {
     int best = SasModel_NONE;
@@ -95,7 +95,7 @@
     for (int i = 0; i < count; i++) {
         uint64_t key[] = {fingerprint, (uint64_t)servers[i].backend};
         uint64_t score = XXH3_64bits(key, sizeof(key));
-        if (servers[i].usable &&
+        if (servers[i].eligible &&
             (best == SasModel_NONE || score > best_score)) {
             best = servers[i].backend;
             best_score = score;
@@ -116,7 +116,7 @@
             continue;
         }
         router->servers[count] = describe_server(router, query, i);
-        *any_usable |= router->servers[count].usable || query->isolated;
+        *any_usable |= router->servers[count].eligible || query->isolated;
         count++;
     }
     if (query->isolated) {
--- a/packages/node/src/router_state.h
+++ b/packages/node/src/router_state.h
@@ -10,7 +10,7 @@
 #include "sas/lookup.h"
 #include "sas/measure.h"
 #include "sas/membership.h"
-#include "sas/place.h"
+#include "sas/placement.h"
 #include "sas/plan.h"
 #include "router.h"
 
@@ -47,8 +47,8 @@
     struct sas_plan_signal *signals;
     bool *down;           /* by region */
     double *answer_bytes; /* by service, a moving average */
-    struct sas_place_policy *placement;
-    struct sas_place_server *servers; /* scratch for one decision */
+    struct sas_placement_policy *placement;
+    struct sas_placement_server *servers; /* scratch for one decision */
     uv_timer_t timer;
 };
 
--- a/tools/load/place_driver.c
+++ b/tools/load/place_driver.c
@@ -1,10 +1,10 @@
 /* place_driver - measures the placement policies of the core on one seeded
  * arrival list: one region, 8 backend servers of 3 slots, some entry VMs.
  *
- * It drives SasPlace_Create's policies with what an entry VM would know (own
- * requests, reports that came with answers) and compares them with a central
- * dispatcher that knows everything: "jsq" joins the shortest queue, "held"
- * too, but keeps what no server has room for in one queue. Times are
+ * It drives SasPlacement_Create's policies with what an entry VM would know
+ * (own requests, reports that came with answers) and compares them with a
+ * central dispatcher that knows everything: "jsq" joins the shortest queue,
+ * "held" too, but keeps what no server has room for in one queue. Times are
  * milliseconds from the arrival at the entry VM to the answer there; a request
  * that waits longer than --wait at its entry VM, or is shed --tries times, is
  * refused.
@@ -16,7 +16,7 @@
 
 #include "sample.h"
 #include "sas/model.h"
-#include "sas/place.h"
+#include "sas/placement.h"
 
 #define SERVERS 8
 #define SLOTS 3
@@ -49,10 +49,10 @@
 };
 
 struct node {
-    struct sas_place_server view[SERVERS];
+    struct sas_placement_server view[SERVERS];
     double reported_at[SERVERS];
     double shed_at[SERVERS];
-    struct sas_place_policy *policy;
+    struct sas_placement_policy *policy;
     GQueue queue;
     bool will_wake;
 };
@@ -221,11 +221,12 @@
 {
     struct node *node = &run->nodes[job->node];
     for (int i = 0; i < SERVERS; i++) {
-        struct sas_place_server *server = &node->view[i];
+        struct sas_placement_server *server = &node->view[i];
         double age = run->now - node->reported_at[i];
-        server->usable = (job->shed_by >> i & 1) == 0;
+        server->eligible = (job->shed_by >> i & 1) == 0;
         server->cold = get_slowness(run, i) == COLD;
-        server->shed_lately = run->now - node->shed_at[i] < SasPlace_SHED_MS;
+        server->shed_recently =
+            run->now - node->shed_at[i] < SasPlacement_SHED_MS;
         server->report_age_ms = node->reported_at[i] < 0 ? -1 : (int64_t)age;
         if (run->is_central) {
             server->own_in_flight = 0;
@@ -244,12 +245,12 @@
     for (int k = 0; run->lends && k < SERVERS * run->options->nodes; k++) {
         int server = k % SERVERS;
         struct node *lender = &run->nodes[k / SERVERS];
-        struct sas_place_server *view = &lender->view[server];
+        struct sas_placement_server *view = &lender->view[server];
         if (lender != &run->nodes[job->node] && lender->queue.length == 0 &&
-            view->own_in_flight < view->own_share &&
+            view->own_in_flight < view->owned_slots &&
             (job->shed_by >> server & 1) == 0) {
-            view->own_share--;
-            run->nodes[job->node].view[server].own_share++;
+            view->owned_slots--;
+            run->nodes[job->node].view[server].owned_slots++;
             job->lender = k / SERVERS;
             return server;
         }
@@ -365,13 +366,13 @@
 {
     struct job *job = &run->jobs[index];
     struct node *node = &run->nodes[job->node];
-    struct sas_place_server *view = &node->view[job->server];
+    struct sas_placement_server *view = &node->view[job->server];
     run->servers[job->server].committed--;
     view->own_in_flight--;
     view->reported_load = fmax(0, report - view->own_in_flight);
     node->reported_at[job->server] = run->now;
     if (job->lender != SasModel_NONE) {
-        view->own_share--;
+        view->owned_slots--;
         push(run, run->now + run->options->far_ms, on_return, index);
     }
 }
@@ -407,7 +408,7 @@
 on_return(struct run *run, int index)
 {
     struct job *job = &run->jobs[index];
-    run->nodes[job->lender].view[job->server].own_share++;
+    run->nodes[job->lender].view[job->server].owned_slots++;
     drain(run, job->lender);
 }
 
@@ -430,12 +431,12 @@
     }
     for (int n = 0; n < options->nodes; n++) {
         struct node *node = &run->nodes[n];
-        node->policy = SasPlace_Create(name);
+        node->policy = SasPlacement_Create(name);
         g_queue_init(&node->queue);
         for (int i = 0; i < SERVERS; i++) {
             node->reported_at[i] = -1;
-            node->shed_at[i] = -SasPlace_SHED_MS;
-            node->view[i] = (struct sas_place_server){
+            node->shed_at[i] = -SasPlacement_SHED_MS;
+            node->view[i] = (struct sas_placement_server){
                 .backend = i,
                 .slots = SLOTS,
                 .queue = run->queue,
@@ -445,7 +446,7 @@
     }
     int places = SLOTS + options->queue; /* of a server */
     for (int k = 0; k < SERVERS * places; k++) {
-        run->nodes[k % options->nodes].view[k / places].own_share++;
+        run->nodes[k % options->nodes].view[k / places].owned_slots++;
     }
 }
 
@@ -453,7 +454,7 @@
 tear_down(struct run *run)
 {
     for (int n = 0; n < run->options->nodes; n++) {
-        SasPlace_Free(run->nodes[n].policy);
+        SasPlacement_Free(run->nodes[n].policy);
     }
     for (int i = 0; i < SERVERS; i++) {
         g_array_unref(run->servers[i].history);
