--- a/packages/core/include/sas/owner.h
+++ b/packages/core/include/sas/owner.h
@@ -16,8 +16,8 @@
  *
  * To keep large bodies off the links between failure domains, a query can
  * prefer the caller's zone, so that an object has an owner in each zone of its
- * region, and can set the part of the objects that stays (sas/keep.h). Each
- * further owner has to load the object into its cache once more.
+ * region, and can set the part of the objects that stays (sas/zone_share.h).
+ * Each further owner has to load the object into its cache once more.
  */
 #ifndef SAS_OWNER_H
 #define SAS_OWNER_H
--- a/packages/core/src/keep.c
+++ b/packages/core/src/zone_share.c
@@ -1,4 +1,4 @@
-#include "sas/keep.h"
+#include "sas/zone_share.h"
 
 #include <math.h>
 
@@ -37,40 +37,44 @@
 static double
 quantize(double value)
 {
-    return floor(value / SasKeep_STEP) * SasKeep_STEP;
+    return floor(value / SasZoneShare_STEP) * SasZoneShare_STEP;
 }
 
 double
-SasKeep_Update(struct sas_keep *keep, const struct sas_fleet *fleet,
-               int service, int zone, int64_t now_ms)
+SasZoneShare_Update(struct sas_zone_share *share,
+                    const struct sas_fleet *fleet, int service, int zone,
+                    int64_t now_ms)
 {
-    if (keep->value > 0 && now_ms - keep->changed_at < SasKeep_EVERY_MS) {
-        return keep->value;
+    if (share->value > 0 &&
+        now_ms - share->changed_at < SasZoneShare_STEP_INTERVAL_MS) {
+        return share->value;
     }
     struct sums sums = sum_up(fleet, service, zone, now_ms);
     double equal_share = sums.all_slots / MAX(SasFleet_CountZones(fleet), 1);
     double least = equal_share > 0 ? MIN(sums.zone_slots / equal_share, 1) : 1;
     double utilization =
         sums.zone_slots > 0 ? sums.zone_load / sums.zone_slots : 0;
-    if (keep->value <= 0) {
-        keep->value = quantize(MIN(SasKeep_START * least, 1));
-        keep->utilization = utilization;
+    if (share->value <= 0) {
+        share->value = quantize(MIN(SasZoneShare_START * least, 1));
+        share->utilization = utilization;
     }
-    keep->utilization += SMOOTHING * (utilization - keep->utilization);
-    if (keep->utilization > SasKeep_BUSY) {
-        keep->value -= SasKeep_STEP;
+    share->utilization += SMOOTHING * (utilization - share->utilization);
+    if (share->utilization > SasZoneShare_BUSY) {
+        share->value -= SasZoneShare_STEP;
     }
-    else if (keep->utilization < SasKeep_IDLE) {
-        keep->value += SasKeep_STEP;
+    else if (share->utilization < SasZoneShare_IDLE) {
+        share->value += SasZoneShare_STEP;
     }
-    keep->value = CLAMP(keep->value, MAX(quantize(least), SasKeep_STEP), 1);
-    keep->changed_at = now_ms;
-    return keep->value;
+    share->value =
+        CLAMP(share->value, MAX(quantize(least), SasZoneShare_STEP), 1);
+    share->changed_at = now_ms;
+    return share->value;
 }
 
 bool
-SasKeep_IsNear(const struct sas_service_time *service_time, double bytes)
+SasZoneShare_PrefersZone(const struct sas_service_time *service_time,
+                         double bytes)
 {
-    return bytes >=
-           SasKeep_NEAR_BYTES_PER_MS * SasServiceTime_Get(service_time, false);
+    return bytes >= SasZoneShare_PREFER_BYTES_PER_MS *
+                        SasServiceTime_Get(service_time, false);
 }
--- a/packages/core/tests/test_keep.c
+++ b/packages/core/tests/test_zone_share.c
@@ -4,7 +4,7 @@
 #include <cmocka.h>
 
 #include "fleet_support.h"
-#include "sas/keep.h"
+#include "sas/zone_share.h"
 
 /* Zone a has one server of the service, the five others have three each, like
  * Quebec City's photo servers. */
@@ -21,15 +21,16 @@
 }
 
 static double
-run(struct sas_keep *keep, struct sas_fleet *fleet, int load, int64_t from_ms,
-    int seconds)
+run(struct sas_zone_share *share, struct sas_fleet *fleet, int load,
+    int64_t from_ms, int seconds)
 {
     double value = 0;
     for (int i = 0; i < seconds; i++) {
         SasFleet_At(fleet, SasFleet_FindServer(fleet, "photos-a-0"))
             ->traffic.in_flight = load;
-        value = SasKeep_Update(keep, fleet, 0, SasFleet_FindZone(fleet, "a"),
-                               from_ms + i * SasKeep_EVERY_MS);
+        value =
+            SasZoneShare_Update(share, fleet, 0, SasFleet_FindZone(fleet, "a"),
+                                from_ms + i * SasZoneShare_STEP_INTERVAL_MS);
     }
     return value;
 }
@@ -42,12 +43,12 @@
 {
     (void)state;
     struct sas_fleet *fleet = start();
-    struct sas_keep keep = {0};
-    double at_start = run(&keep, fleet, 2, 1000, 1);
+    struct sas_zone_share share = {0};
+    double at_start = run(&share, fleet, 2, 1000, 1);
     assert_true(at_start > 0.6 && at_start < 0.9); /* twice 3 of 8 slots */
-    double busy = run(&keep, fleet, 6, 2000, 20);
+    double busy = run(&share, fleet, 6, 2000, 20);
     assert_true(busy > 0.3 && busy < 0.4); /* not below its slots */
-    double idle = run(&keep, fleet, 0, 30000, 20);
+    double idle = run(&share, fleet, 0, 30000, 20);
     assert_true(idle == 1);
     SasFleet_Free(fleet);
 }
@@ -59,8 +60,8 @@
 {
     (void)state;
     struct sas_fleet *fleet = start();
-    struct sas_keep one = {0};
-    struct sas_keep other = {0};
+    struct sas_zone_share one = {0};
+    struct sas_zone_share other = {0};
     for (int i = 0; i < 10; i++) {
         double first = run(&one, fleet, 2, 1000 + i * 1000, 1);
         double second = run(&other, fleet, 2, 1007 + i * 1000, 1);
@@ -82,10 +83,10 @@
     SasServiceTime_Init(&slow, 0);
     SasServiceTime_Note(&quick, false, 312);
     SasServiceTime_Note(&slow, false, 600);
-    assert_true(SasKeep_IsNear(&quick, 5500));
-    assert_false(SasKeep_IsNear(&slow, 6200));
-    assert_true(SasKeep_IsNear(&slow, 60000));
-    assert_false(SasKeep_IsNear(&quick, 0));
+    assert_true(SasZoneShare_PrefersZone(&quick, 5500));
+    assert_false(SasZoneShare_PrefersZone(&slow, 6200));
+    assert_true(SasZoneShare_PrefersZone(&slow, 60000));
+    assert_false(SasZoneShare_PrefersZone(&quick, 0));
 }
 
 int
--- a/packages/gateway/src/relay_call.h
+++ b/packages/gateway/src/relay_call.h
@@ -8,7 +8,7 @@
 #include "sas/shared_limits.h"
 #include "sas/grey.h"
 #include "sas/http.h"
-#include "sas/keep.h"
+#include "sas/zone_share.h"
 #include "sas/owner.h"
 #include "sas/split.h"
 #include "sas/traffic.h"
@@ -35,7 +35,7 @@
 
 struct service_state {
     struct sas_retry_budget retries;
-    struct sas_keep zone_share;
+    struct sas_zone_share zone_share;
     int64_t avoid_idle_until; /* idle connections may be dead until then */
 };
 
--- a/packages/gateway/src/relay_choose.c
+++ b/packages/gateway/src/relay_choose.c
@@ -30,7 +30,7 @@
     if (call->route->kind != SAS_ROUTE_UPLOAD) {
         return 0;
     }
-    return SasKeep_Update(
+    return SasZoneShare_Update(
         &SasRelay_GetService(relay, call->service)->zone_share,
         relay->options.fleet, call->service,
         SasMesh_GetOwnZone(relay->options.mesh), now_ms);
@@ -41,7 +41,7 @@
 {
     const struct route_state *state = SasRelay_GetRouteState(call);
     return call->route->kind == SAS_ROUTE_UPLOAD ||
-           SasKeep_IsNear(&state->service_time, state->bytes);
+           SasZoneShare_PrefersZone(&state->service_time, state->bytes);
 }
 
 /* The server. */
