--- a/packages/core/src/strength.c
+++ b/packages/core/src/vm_capacity.c
@@ -1,4 +1,4 @@
-#include "sas/strength.h"
+#include "sas/vm_capacity.h"
 
 #include <glib.h>
 #include <stdbool.h>
@@ -10,10 +10,10 @@
 };
 
 double
-SasStrength_Estimate(double cores, double link_mbps)
+SasVmCapacity_Estimate(double cores, double link_mbps)
 {
-    return MIN(cores * SasStrength_REQUESTS_PER_CORE,
-               link_mbps * SasStrength_REQUESTS_PER_MBIT);
+    return MIN(cores * SasVmCapacity_REQUESTS_PER_CORE,
+               link_mbps * SasVmCapacity_REQUESTS_PER_MBIT);
 }
 
 /* Larger capacity first; equal ones in the order of their index. */
@@ -29,7 +29,7 @@
 }
 
 int
-SasStrength_Pick(const double *capacities, int count, int *picked, int max)
+SasVmCapacity_Pick(const double *capacities, int count, int *picked, int max)
 {
     g_autofree struct entry *entries = g_new(struct entry, MAX(count, 1));
     for (int i = 0; i < count; i++) {
@@ -41,7 +41,7 @@
     while (taken < count && taken < max) {
         const struct entry *entry = &entries[taken];
         bool large =
-            entry->capacity >= SasStrength_SHARE * entries[0].capacity;
+            entry->capacity >= SasVmCapacity_SHARE * entries[0].capacity;
         if (!large && taken >= SasStrength_MIN_RETURNED) {
             break;
         }
--- a/packages/gateway/src/mesh.c
+++ b/packages/gateway/src/mesh.c
@@ -6,7 +6,7 @@
 #include "mesh_internal.h"
 #include "sas/http.h"
 #include "sas/log.h"
-#include "sas/strength.h"
+#include "sas/vm_capacity.h"
 
 /* Failure domains whose leaders a change is announced to at once. Each leader
  * thus gets it from as many others, also while most of them are unreachable.
@@ -69,7 +69,8 @@
         .caller = settings->caller,
         .peer = settings->peer,
         .incarnation = (uint64_t)settings->started_at,
-        .capacity = SasStrength_Estimate(settings->cores, settings->link_mbps),
+        .capacity =
+            SasVmCapacity_Estimate(settings->cores, settings->link_mbps),
     };
     g_strlcpy(own.name, settings->name, sizeof(own.name));
     g_strlcpy(own.zone, settings->zone, sizeof(own.zone));
--- a/packages/gateway/src/mesh_lookup.c
+++ b/packages/gateway/src/mesh_lookup.c
@@ -2,7 +2,7 @@
 #include "mesh_internal.h"
 
 #include "sas/log.h"
-#include "sas/strength.h"
+#include "sas/vm_capacity.h"
 
 /* Dead members count towards their zone's total capacity for this time: they
  * may be restarting or have been killed. Later they count as removed. */
@@ -62,9 +62,9 @@
         }
     }
     int picked[SasMesh_MAX_ADDRESSES];
-    int count = SasStrength_Pick((const double *)(void *)capacities->data,
-                                 (int)member_ids->len, picked,
-                                 MIN(max, SasMesh_MAX_ADDRESSES));
+    int count = SasVmCapacity_Pick((const double *)(void *)capacities->data,
+                                   (int)member_ids->len, picked,
+                                   MIN(max, SasMesh_MAX_ADDRESSES));
     for (int i = 0; i < count; i++) {
         int member_id = g_array_index(member_ids, int, picked[i]);
         addresses[i] = SasMesh_GetVm(mesh, member_id)->facts.caller;
@@ -113,7 +113,7 @@
     enum scope best = ZONE;
     for (enum scope scope = ZONE; scope < SCOPES; scope++) {
         remaining[scope] = get_remaining_share(mesh, &places[scope]);
-        if (remaining[scope] >= SasStrength_LEAST_LEFT) {
+        if (remaining[scope] >= SasVmCapacity_MIN_LEFT) {
             return scope;
         }
         if (remaining[scope] > remaining[best]) {
