--- a/packages/core/include/sas/traffic.h
+++ b/packages/core/include/sas/traffic.h
@@ -151,9 +151,9 @@
  */
 void SasTraffic_AwaitWord(struct sas_fleet *fleet, int slot);
 
-/* Marks a grey failure (sas/grey.h) for left_ms. Requests that must not be
- * retried go to other servers meanwhile. The server is not ejected: under load
- * the others would have to refuse more requests than it fails. */
+/* Marks a grey failure (sas/grey_failure.h) for left_ms. Requests that must
+ * not be retried go to other servers meanwhile. The server is not ejected:
+ * under load the others would have to refuse more requests than it fails. */
 void SasTraffic_NoteGrey(struct sas_fleet_server *server, int64_t left_ms,
                          int64_t now_ms);
 bool SasTraffic_IsGrey(const struct sas_fleet_server *server, int64_t now_ms);
--- a/packages/core/tests/test_grey.c
+++ b/packages/core/tests/test_grey_failure.c
@@ -5,7 +5,7 @@
 
 #include <glib.h>
 
-#include "sas/grey.h"
+#include "sas/grey_failure.h"
 
 #define RATE 11 /* requests a second to one server */
 #define VMS 9
@@ -17,20 +17,20 @@
 simulate(double failure_share, int seconds, guint32 seed)
 {
     GRand *random = g_rand_new_with_seed(seed);
-    struct sas_grey vms[VMS];
+    struct sas_grey_failure vms[VMS];
     int64_t detected_ms = -1;
     for (int i = 0; i < VMS; i++) {
-        SasGrey_Init(&vms[i]);
+        SasGreyFailure_Init(&vms[i]);
     }
     for (int i = 0; i < RATE * (10 + seconds) && detected_ms < 0; i++) {
         int64_t now_ms = 1000 + i * 1000 / RATE;
         int vm = g_rand_int_range(random, 0, VMS);
         if (i < RATE * 10 || g_rand_double(random) >= failure_share) {
-            SasGrey_NoteAnswered(&vms[vm], now_ms);
+            SasGreyFailure_NoteAnswered(&vms[vm], now_ms);
             continue;
         }
-        int answered = SasGrey_TakeAnswered(&vms[vm], now_ms);
-        if (SasGrey_Add(&vms[0], 1, answered, now_ms)) {
+        int answered = SasGreyFailure_TakeUnreported(&vms[vm], now_ms);
+        if (SasGreyFailure_AddReport(&vms[0], 1, answered, now_ms)) {
             detected_ms = now_ms - 11000;
         }
     }
@@ -65,13 +65,17 @@
 test_old_failures_do_not_count(void **state)
 {
     (void)state;
-    struct sas_grey grey;
-    SasGrey_Init(&grey);
-    assert_false(SasGrey_Add(&grey, SasGrey_MIN_FAILED - 1, 0, 1000));
-    assert_false(SasGrey_Add(&grey, 1, 0, 1000 + 2 * SasGrey_WINDOW_MS));
-    assert_false(SasGrey_Add(&grey, SasGrey_MIN_FAILED - 2, 0,
-                             1001 + 2 * SasGrey_WINDOW_MS));
-    assert_true(SasGrey_Add(&grey, 1, 0, 1002 + 2 * SasGrey_WINDOW_MS));
+    struct sas_grey_failure grey;
+    SasGreyFailure_Init(&grey);
+    assert_false(SasGreyFailure_AddReport(&grey, SasGreyFailure_MIN_FAILED - 1,
+                                          0, 1000));
+    assert_false(SasGreyFailure_AddReport(
+        &grey, 1, 0, 1000 + 2 * SasGreyFailure_WINDOW_MS));
+    assert_false(
+        SasGreyFailure_AddReport(&grey, SasGreyFailure_MIN_FAILED - 2, 0,
+                                 1001 + 2 * SasGreyFailure_WINDOW_MS));
+    assert_true(SasGreyFailure_AddReport(&grey, 1, 0,
+                                         1002 + 2 * SasGreyFailure_WINDOW_MS));
 }
 
 int
--- a/packages/gateway/src/relay.c
+++ b/packages/gateway/src/relay.c
@@ -111,7 +111,7 @@
         memset(state, 0, sizeof(*state));
         state->generation = generation;
         SasWindow_Init(&state->cold_sends, 1000);
-        SasGrey_Init(&state->grey_failure);
+        SasGreyFailure_Init(&state->grey_failure);
     }
     return state;
 }
--- a/packages/gateway/src/relay_call.h
+++ b/packages/gateway/src/relay_call.h
@@ -6,7 +6,7 @@
 #include "relay.h"
 #include "sas/admission.h"
 #include "sas/shared_limits.h"
-#include "sas/grey.h"
+#include "sas/grey_failure.h"
 #include "sas/http.h"
 #include "sas/zone_share.h"
 #include "sas/owner.h"
@@ -44,7 +44,7 @@
     uint32_t generation;
     struct sas_window cold_sends; /* requests sent in the last second */
     int64_t cold_until_ms;        /* assumed; the row may state another time */
-    struct sas_grey grey_failure;
+    struct sas_grey_failure grey_failure;
 };
 
 struct route_state { /* of a route by name, across configurations */
--- a/packages/gateway/src/relay_peers.c
+++ b/packages/gateway/src/relay_peers.c
@@ -156,13 +156,14 @@
 {
     int64_t now_ms = SasRelay_Now(relay);
     struct slot_state *state = SasRelay_GetSlot(relay, slot);
-    if (!SasGrey_Add(&state->grey_failure, failed, answered, now_ms)) {
+    if (!SasGreyFailure_AddReport(&state->grey_failure, failed, answered,
+                                  now_ms)) {
         return;
     }
     struct sas_fleet_server *server = SasFleet_At(relay->options.fleet, slot);
     struct sas_mesh_ejection ejection = {
         .server_hash = server->hash,
-        .left_ms = SasGrey_HOLD_MS,
+        .left_ms = SasGreyFailure_MARK_MS,
         .grey_failure = true,
     };
     SasTraffic_NoteGrey(server, ejection.left_ms, now_ms);
@@ -177,8 +178,8 @@
 void
 SasRelay_NoteAnswered(struct sas_relay *relay, int slot)
 {
-    SasGrey_NoteAnswered(&SasRelay_GetSlot(relay, slot)->grey_failure,
-                         SasRelay_Now(relay));
+    SasGreyFailure_NoteAnswered(&SasRelay_GetSlot(relay, slot)->grey_failure,
+                                SasRelay_Now(relay));
 }
 
 void
@@ -188,8 +189,8 @@
     struct sas_mesh_failure_report report = {
         .server_hash = SasFleet_At(relay->options.fleet, slot)->hash,
         .failed = 1,
-        .answered =
-            SasGrey_TakeAnswered(&state->grey_failure, SasRelay_Now(relay)),
+        .answered = SasGreyFailure_TakeUnreported(&state->grey_failure,
+                                                  SasRelay_Now(relay)),
     };
     if (is_prober(relay, slot)) {
         count_failures(relay, slot, report.failed, report.answered);
