--- a/packages/gateway/src/mesh_gossip.c
+++ b/packages/gateway/src/mesh_gossip.c
@@ -71,7 +71,7 @@
     uv_udp_init(mesh->loop, &mesh->socket);
     uv_timer_init(mesh->loop, &mesh->round_timer);
     uv_timer_init(mesh->loop, &mesh->reply_timer);
-    SasExchange_Init(&mesh->pings);
+    SasPing_Init(&mesh->pings);
     mesh->socket.data = mesh;
     mesh->round_timer.data = mesh;
     mesh->reply_timer.data = mesh;
@@ -123,12 +123,12 @@
 static void
 ping(struct sas_mesh *mesh, int member_id)
 {
-    SasExchange_Begin(&mesh->pings, member_id, SasMesh_Now(mesh));
+    SasPing_Add(&mesh->pings, member_id, SasMesh_Now(mesh));
     SasMesh_SendUpdates(mesh, SasMesh_GetVm(mesh, member_id),
                         SAS_MESH_MAX_NEWS, true);
     if (!uv_is_active((uv_handle_t *)&mesh->reply_timer)) {
-        uv_timer_start(&mesh->reply_timer, on_reply_timer,
-                       SasExchange_REPLY_MS, SasExchange_REPLY_MS);
+        uv_timer_start(&mesh->reply_timer, on_reply_timer, SasPing_TIMEOUT_MS,
+                       SasPing_TIMEOUT_MS);
     }
 }
 
@@ -153,13 +153,13 @@
 on_reply_timer(uv_timer_t *timer)
 {
     struct sas_mesh *mesh = timer->data;
-    struct sas_exchange_due due;
-    while (SasExchange_Next(&mesh->pings, SasMesh_Now(mesh), &due)) {
-        if (due.silent) {
-            note_timeout(mesh, due.seat);
+    struct sas_ping_due due;
+    while (SasPing_NextDue(&mesh->pings, SasMesh_Now(mesh), &due)) {
+        if (due.timed_out) {
+            note_timeout(mesh, due.member_id);
         }
         else {
-            SasMesh_SendUpdates(mesh, SasMesh_GetVm(mesh, due.seat),
+            SasMesh_SendUpdates(mesh, SasMesh_GetVm(mesh, due.member_id),
                                 SAS_MESH_MAX_NEWS, true);
         }
     }
@@ -692,7 +692,7 @@
         correct_sender(mesh, &facts, SasMesh_GetVm(mesh, member_id));
     }
     renew_own(mesh);
-    SasExchange_End(&mesh->pings, member_id);
+    SasPing_Remove(&mesh->pings, member_id);
     SasMembership_NoteDirect(&mesh->table, member_id, facts.incarnation,
                              SasMesh_Now(mesh));
     notify_listener(mesh, message);
--- a/packages/gateway/src/mesh_internal.h
+++ b/packages/gateway/src/mesh_internal.h
@@ -4,9 +4,9 @@
 #define SAS_MESH_INTERNAL_H
 
 #include "mesh.h"
-#include "sas/exchange.h"
 #include "sas/generated/mesh.h"
 #include "sas/membership.h"
+#include "sas/ping.h"
 #include "sas/proto.h"
 
 #define OWN_ID 0
@@ -31,7 +31,7 @@
     uv_udp_t socket;
     uv_timer_t round_timer;
     uv_timer_t reply_timer; /* runs while pings wait for a reply */
-    struct sas_exchanges pings;
+    struct sas_pings pings;
     int open_handles;
     struct sas_fleet *fleet;
     GRand *random;
