--- a/packages/core/src/waits.c
+++ b/packages/core/src/poll_timeouts.c
@@ -1,4 +1,4 @@
-#include "sas/waits.h"
+#include "sas/poll_timeouts.h"
 
 #include <glib.h>
 
@@ -30,30 +30,33 @@
 }
 
 void
-SasWaits_Init(struct sas_waits *waits, int64_t bound_ms)
+SasPollTimeouts_Init(struct sas_poll_timeouts *timeouts, int64_t bound_ms)
 {
-    waits->pause_ms = PAUSE_MS;
-    waits->silence_ms =
+    timeouts->poll_pause_ms = PAUSE_MS;
+    timeouts->response_ms =
         get_share(bound_ms, RESPONSE_FRACTION, MAX_RESPONSE_MS);
-    waits->vm_silence_ms =
+    timeouts->vm_response_ms =
         get_share(bound_ms, VM_RESPONSE_FRACTION, MAX_VM_RESPONSE_MS);
-    waits->hop_ms = get_share(bound_ms, FAILOVER_FRACTION, MAX_FAILOVER_MS);
-    int64_t remaining_ms = bound_ms - waits->hop_ms;
-    waits->question_ms = CLAMP(
-        remaining_ms - waits->pause_ms - waits->silence_ms, 0, MAX_POLL_MS);
-    waits->vm_question_ms =
-        CLAMP(remaining_ms - waits->vm_silence_ms, 0, MAX_VM_POLL_MS);
+    timeouts->failover_ms =
+        get_share(bound_ms, FAILOVER_FRACTION, MAX_FAILOVER_MS);
+    int64_t remaining_ms = bound_ms - timeouts->failover_ms;
+    timeouts->poll_ms =
+        CLAMP(remaining_ms - timeouts->poll_pause_ms - timeouts->response_ms,
+              0, MAX_POLL_MS);
+    timeouts->vm_poll_ms =
+        CLAMP(remaining_ms - timeouts->vm_response_ms, 0, MAX_VM_POLL_MS);
 }
 
 int64_t
-SasWaits_GetVouchMs(const struct sas_waits *waits)
+SasPollTimeouts_GetMaxAgeMs(const struct sas_poll_timeouts *timeouts)
 {
-    return waits->pause_ms + waits->question_ms + waits->silence_ms;
+    return timeouts->poll_pause_ms + timeouts->poll_ms + timeouts->response_ms;
 }
 
 int64_t
-SasWaits_GetLongestMs(const struct sas_waits *waits)
+SasPollTimeouts_GetMaxPropagationMs(const struct sas_poll_timeouts *timeouts)
 {
-    int64_t vm_ms = waits->vm_question_ms + waits->vm_silence_ms;
-    return MAX(SasWaits_GetVouchMs(waits), vm_ms) + waits->hop_ms;
+    int64_t vm_ms = timeouts->vm_poll_ms + timeouts->vm_response_ms;
+    return MAX(SasPollTimeouts_GetMaxAgeMs(timeouts), vm_ms) +
+           timeouts->failover_ms;
 }
--- a/packages/core/tests/test_waits.c
+++ b/packages/core/tests/test_poll_timeouts.c
@@ -3,7 +3,7 @@
 #include <stddef.h>
 #include <cmocka.h>
 
-#include "sas/waits.h"
+#include "sas/poll_timeouts.h"
 
 /* Guards against an unresponsive store or leader that is noticed after the
  * bound within which a change has to be in force, for any bound that operators
@@ -12,11 +12,12 @@
 test_unresponsive_side_is_noticed_within_any_bound(void **state)
 {
     (void)state;
-    for (int64_t bound_ms = SasWaits_LEAST_BOUND_MS; bound_ms <= 60000;
+    for (int64_t bound_ms = SasPollTimeouts_MIN_BOUND_MS; bound_ms <= 60000;
          bound_ms += 7) {
-        struct sas_waits waits;
-        SasWaits_Init(&waits, bound_ms);
-        assert_true(SasWaits_GetLongestMs(&waits) <= bound_ms);
+        struct sas_poll_timeouts timeouts;
+        SasPollTimeouts_Init(&timeouts, bound_ms);
+        assert_true(SasPollTimeouts_GetMaxPropagationMs(&timeouts) <=
+                    bound_ms);
     }
 }
 
@@ -27,13 +28,13 @@
 {
     (void)state;
     for (int64_t bound_ms = 2000; bound_ms <= 15000; bound_ms += 250) {
-        struct sas_waits waits;
-        SasWaits_Init(&waits, bound_ms);
-        assert_true(waits.question_ms >= 800);
-        assert_true(waits.silence_ms >= 500);
-        assert_true(waits.vm_question_ms >= 500);
-        assert_true(waits.vm_silence_ms >= 400);
-        assert_true(waits.hop_ms >= 400);
+        struct sas_poll_timeouts timeouts;
+        SasPollTimeouts_Init(&timeouts, bound_ms);
+        assert_true(timeouts.poll_ms >= 800);
+        assert_true(timeouts.response_ms >= 500);
+        assert_true(timeouts.vm_poll_ms >= 500);
+        assert_true(timeouts.vm_response_ms >= 400);
+        assert_true(timeouts.failover_ms >= 400);
     }
 }
 
