--- a/packages/core/include/sas/fleet.h
+++ b/packages/core/include/sas/fleet.h
@@ -62,15 +62,15 @@
     int timeouts;             /* in a row */
     int slow_runs;            /* in a row */
     int64_t queued_since;     /* queue reported since then; 0: it is short */
-    int64_t brief_until;      /* only a short queue is allowed until then */
-    int failures;             /* of connections, in a row */
-    bool tripped;             /* ejected, or half-open after shunned_until */
-    bool was_down;            /* ejected as it refused connections */
-    int64_t grey_until;       /* grey failure: fails part of its requests */
-    int64_t shunned_until;    /* end of the ejection, while tripped */
-    int64_t hold_ms;          /* length of the last ejection */
-    int64_t warned_until;     /* ejected on another entry VM's report */
-    int64_t well_at;          /* last answer within the usual time */
+    int64_t short_queue_until;  /* only a short queue is allowed until then */
+    int failures;               /* of connections, in a row */
+    bool ejected;               /* ejected, or half-open after ejected_until */
+    bool refused_connections;   /* ejected as it refused connections */
+    int64_t grey_until;         /* grey failure: fails part of its requests */
+    int64_t ejected_until;      /* end of the ejection, while tripped */
+    int64_t ejection_ms;        /* length of the last ejection */
+    int64_t peer_ejected_until; /* ejected on another entry VM's report */
+    int64_t healthy_at;         /* last answer within the usual time */
 };
 
 struct sas_fleet_server {
--- a/packages/core/include/sas/traffic.h
+++ b/packages/core/include/sas/traffic.h
@@ -24,7 +24,7 @@
  * service times (sas/admission.h). */
 #define SasTraffic_QUEUE 2 /* waiting requests that count as a queue */
 #define SasTraffic_STANDING 2.0
-#define SasTraffic_BRIEF 8.0
+#define SasTraffic_SHORT_QUEUE 8.0
 
 /* Half-life of the other entry VMs' part of a report, in service times. */
 #define SasTraffic_HALF_LIFE 0.6
@@ -32,47 +32,47 @@
 /* Consecutive failures that eject a server: where the last one is a failed
  * connect, and where it is a reset. Its objects go to the next servers of
  * their ranking until it has recovered. */
-#define SasTraffic_FAILURES 2
-#define SasTraffic_CUTS 3
+#define SasTraffic_MAX_FAILURES 2
+#define SasTraffic_MAX_RESETS 3
 
 /* Consecutive timeouts that eject a server. A healthy but busy one has fewer,
  * also where the service time is close to the timeout. */
-#define SasTraffic_TIMEOUTS 4
+#define SasTraffic_MAX_TIMEOUTS 4
 
 /* A run that takes at most this many service times is healthy; a probe request
  * has to be. Its object is mostly uncached at the server. */
-#define SasTraffic_TRIAL 1.6
+#define SasTraffic_MAX_PROBE 1.6
 
 /* Ejection time: the first one, and the limit of its doubling with each failed
  * probe request. It doesn't depend on the service time, as failures don't. */
-#define SasTraffic_HOLD_MS 1500
-#define SasTraffic_MAX_HOLD_MS 6000
+#define SasTraffic_EJECTION_MS 1500
+#define SasTraffic_MAX_EJECTION_MS 6000
 
 /* A server is slow after SLOW_RUNS consecutive slow runs. A run is slow beyond
  * SLOW_KNOWN service times for a cached object, beyond TRIAL for an uncached
  * one, and when it times out. */
 #define SasTraffic_SLOW_RUNS 2
-#define SasTraffic_SLOW_KNOWN 1.0
+#define SasTraffic_SLOW_CACHED 1.0
 
 /* Service times without an answer after which a server with requests in flight
  * is unresponsive. */
-#define SasTraffic_SILENCE 0.8
+#define SasTraffic_UNRESPONSIVE 0.8
 
 /* Age of a healthy run, in service times, up to which it outweighs a peer
  * report. */
-#define SasTraffic_WELL 1.6
+#define SasTraffic_HEALTHY_FOR 1.6
 
 /* How long the other entry VMs wait after an ejection time for the prober's
  * report: VERDICT_MS until the prober has a request for one of the server's
  * objects, and VERDICT service times for the probe request behind the
  * server's queue. If they didn't wait, a server that is about to be ejected
  * again would get requests from each of them. */
-#define SasTraffic_VERDICT_MS 1000
-#define SasTraffic_VERDICT 4.8
+#define SasTraffic_PROBE_RESULT_MS 1000
+#define SasTraffic_PROBE_RESULT 4.8
 
 /* If more than this part of a service's servers fail, the cause is not the
  * servers, and ejecting more would only overload the others. */
-#define SasTraffic_MAX_TRIPPED 0.5
+#define SasTraffic_MAX_EJECTED_SHARE 0.5
 
 /* The load that an answer reports, in requests; running < 0: none. */
 struct sas_traffic_report {
@@ -81,10 +81,10 @@
 };
 
 /* How an attempt ended. */
-struct sas_traffic_end {
+struct sas_attempt_result {
     double elapsed_ms;
     double load_when_sent;
-    bool known; /* the server had the object cached */
+    bool cached; /* the server had the object cached */
     bool timed_out;
     bool failed; /* an error answer, whose time is no service time */
 };
@@ -101,11 +101,11 @@
                           int64_t now_ms);
 
 /* Whether this process has requests in flight at the server and got no answer
- * for SasTraffic_SILENCE service times: it may have turned slow just now. The
- * time counts from its first unanswered request, also when that one has been
- * canceled, or from its last answer. */
-bool SasTraffic_IsSilent(const struct sas_fleet *fleet, int slot,
-                         int64_t now_ms);
+ * for SasTraffic_UNRESPONSIVE service times: it may have turned slow just now.
+ * The time counts from its first unanswered request, also when that one has
+ * been canceled, or from its last answer. */
+bool SasTraffic_IsUnresponsive(const struct sas_fleet *fleet, int slot,
+                               int64_t now_ms);
 
 /* Whether its last SasTraffic_SLOW_RUNS runs were slow, as a cold server's
  * are. */
@@ -120,15 +120,15 @@
  * entry VMs. */
 enum sas_traffic_change {
     SAS_TRAFFIC_SAME,
-    SAS_TRAFFIC_TRIPPED, /* ejected for traffic.hold_ms from now on */
-    SAS_TRAFFIC_WELL     /* recovered */
+    SAS_TRAFFIC_EJECTED,  /* ejected for traffic.ejection_ms from now on */
+    SAS_TRAFFIC_RECOVERED /* recovered */
 };
 
 /* An attempt was answered or timed out. An error answer only resets the count
  * of consecutive failures. */
-enum sas_traffic_change SasTraffic_NoteRun(struct sas_fleet *fleet, int slot,
-                                           const struct sas_traffic_end *end,
-                                           int64_t now_ms);
+enum sas_traffic_change
+SasTraffic_NoteResult(struct sas_fleet *fleet, int slot,
+                      const struct sas_attempt_result *result, int64_t now_ms);
 
 /* The connection failed, or was reset during a request. */
 enum sas_traffic_change SasTraffic_NoteFailure(struct sas_fleet *fleet,
@@ -136,20 +136,21 @@
                                                int64_t now_ms);
 
 /* Another server answers at its address: ejects it at once, for
- * SasTraffic_MAX_HOLD_MS. */
+ * SasTraffic_MAX_EJECTION_MS. */
 enum sas_traffic_change SasTraffic_NoteReplaced(struct sas_fleet *fleet,
                                                 int slot, int64_t now_ms);
 
 /* Applies a peer report: the server is ejected for left_ms more, or has
  * recovered (0). prober: this entry VM probes the server for all. A report of
- * an ejection is ignored while a healthy run here is recent (SasTraffic_WELL),
- * or one entry VM with a bad link would take healthy servers from all. */
-void SasTraffic_TakeWord(struct sas_fleet *fleet, int slot, int64_t left_ms,
-                         bool prober, int64_t now_ms);
+ * an ejection is ignored while a healthy run here is recent
+ * (SasTraffic_HEALTHY_FOR), or one entry VM with a bad link would take healthy
+ * servers from all. */
+void SasTraffic_ApplyPeerReport(struct sas_fleet *fleet, int slot,
+                                int64_t left_ms, bool prober, int64_t now_ms);
 
 /* Another entry VM is the prober of this ejected server: wait for its report.
  */
-void SasTraffic_AwaitWord(struct sas_fleet *fleet, int slot);
+void SasTraffic_AwaitPeerReport(struct sas_fleet *fleet, int slot);
 
 /* Marks a grey failure (sas/grey_failure.h) for left_ms. Requests that must
  * not be retried go to other servers meanwhile. The server is not ejected:
@@ -160,7 +161,7 @@
 
 /* Whether it gets no new request now: it is ejected, or half-open with a
  * request in flight. */
-bool SasTraffic_IsShunned(const struct sas_fleet_server *server,
+bool SasTraffic_IsEjected(const struct sas_fleet_server *server,
                           int64_t now_ms);
 
 /* The service time of an uncached object of the service. */
@@ -175,7 +176,7 @@
                                  int64_t now_ms);
 
 /* Whether more than spare execution slots are free. */
-bool SasTraffic_HasRoom(const struct sas_fleet *fleet, int slot, int spare,
-                        int64_t now_ms);
+bool SasTraffic_HasFreeSlots(const struct sas_fleet *fleet, int slot,
+                             int spare, int64_t now_ms);
 
 #endif
--- a/packages/core/src/admission.c
+++ b/packages/core/src/admission.c
@@ -42,7 +42,7 @@
     double least =
         SasAdmission_MIN_WAIT * SasServiceTime_Get(query->service_time, true);
     double allowed = MAX(query->objective_ms - service_ms, least);
-    if (query->rows_stale || now_ms < server->traffic.brief_until) {
+    if (query->rows_stale || now_ms < server->traffic.short_queue_until) {
         allowed *= query->high_priority
                        ? SasAdmission_SHORT_QUEUE_HIGH_PRIORITY
                        : SasAdmission_SHORT_QUEUE;
@@ -140,8 +140,9 @@
                     const struct candidate *candidates, int64_t now_ms)
 {
     bool uncached = !candidates[0].cached && !candidates[0].warming;
-    return uncached && SasTraffic_HasRoom(fleet, candidates[0].slot,
-                                          SasAdmission_SPARE_SLOTS, now_ms)
+    return uncached &&
+                   SasTraffic_HasFreeSlots(fleet, candidates[0].slot,
+                                           SasAdmission_SPARE_SLOTS, now_ms)
                ? &candidates[0]
                : NULL;
 }
@@ -155,8 +156,8 @@
         const struct candidate *candidate = &candidates[i];
         if (!candidate->cached && !candidate->warming &&
             is_in_time(candidate) &&
-            SasTraffic_HasRoom(fleet, candidate->slot,
-                               SasAdmission_SPARE_SLOTS, now_ms)) {
+            SasTraffic_HasFreeSlots(fleet, candidate->slot,
+                                    SasAdmission_SPARE_SLOTS, now_ms)) {
             return candidate;
         }
     }
--- a/packages/core/src/budget.c
+++ b/packages/core/src/budget.c
@@ -99,7 +99,7 @@
     b->entitled = floors[settings->own_seat];
     /* An earlier incarnation may just have lent all but the reserve, and only
      * its borrowers know. Using the whole floor now would use those units
-     * twice. The last of these loans ends within hold_ms. */
+     * twice. The last of these loans ends within ejection_ms. */
     b->recovering = settings->seats > 1;
     b->recover_until_ms = now_ms + hold_ms(b);
 }
--- a/packages/core/src/owner.c
+++ b/packages/core/src/owner.c
@@ -42,7 +42,7 @@
            int slot, int64_t now_ms)
 {
     if (!SasFleet_IsOpen(fleet, slot) ||
-        SasTraffic_IsShunned(SasFleet_At(fleet, slot), now_ms)) {
+        SasTraffic_IsEjected(SasFleet_At(fleet, slot), now_ms)) {
         return false;
     }
     int region = SasFleet_GetServerRegion(fleet, slot);
--- a/packages/core/src/traffic.c
+++ b/packages/core/src/traffic.c
@@ -39,13 +39,14 @@
 }
 
 bool
-SasTraffic_IsSilent(const struct sas_fleet *fleet, int slot, int64_t now_ms)
+SasTraffic_IsUnresponsive(const struct sas_fleet *fleet, int slot,
+                          int64_t now_ms)
 {
     const struct sas_server_traffic *traffic =
         &SasFleet_At(fleet, slot)->traffic;
     return traffic->in_flight > 0 && traffic->unanswered_since > 0 &&
            now_ms - traffic->unanswered_since >=
-               in_service_times(fleet, slot, SasTraffic_SILENCE);
+               in_service_times(fleet, slot, SasTraffic_UNRESPONSIVE);
 }
 
 bool
@@ -67,8 +68,8 @@
     }
     if (now_ms - traffic->queued_since >=
         in_service_times(fleet, slot, SasTraffic_STANDING)) {
-        traffic->brief_until =
-            now_ms + in_service_times(fleet, slot, SasTraffic_BRIEF);
+        traffic->short_queue_until =
+            now_ms + in_service_times(fleet, slot, SasTraffic_SHORT_QUEUE);
     }
 }
 
@@ -96,9 +97,9 @@
     int ejected = 1; /* the next one */
     for (guint i = 0; i < slots->len; i++) {
         int slot = g_array_index(slots, int, i);
-        ejected += SasFleet_At(fleet, slot)->traffic.tripped ? 1 : 0;
+        ejected += SasFleet_At(fleet, slot)->traffic.ejected ? 1 : 0;
     }
-    return ejected > SasTraffic_MAX_TRIPPED * slots->len;
+    return ejected > SasTraffic_MAX_EJECTED_SHARE * slots->len;
 }
 
 static enum sas_traffic_change
@@ -106,27 +107,28 @@
 {
     struct sas_fleet_server *server = SasFleet_At(fleet, slot);
     struct sas_server_traffic *traffic = &server->traffic;
-    if (now_ms < MAX(traffic->shunned_until, traffic->warned_until)) {
+    if (now_ms < MAX(traffic->ejected_until, traffic->peer_ejected_until)) {
         return SAS_TRAFFIC_SAME; /* a request from before the ejection */
     }
-    if (!traffic->tripped && too_many_ejected(fleet, server->service)) {
+    if (!traffic->ejected && too_many_ejected(fleet, server->service)) {
         return SAS_TRAFFIC_SAME;
     }
-    traffic->hold_ms = traffic->tripped
-                           ? MIN(traffic->hold_ms * 2, SasTraffic_MAX_HOLD_MS)
-                           : SasTraffic_HOLD_MS;
-    traffic->was_down = traffic->tripped && traffic->was_down;
-    traffic->tripped = true;
-    traffic->shunned_until = now_ms + traffic->hold_ms;
-    return SAS_TRAFFIC_TRIPPED;
+    traffic->ejection_ms = traffic->ejected ? MIN(traffic->ejection_ms * 2,
+                                                  SasTraffic_MAX_EJECTION_MS)
+                                            : SasTraffic_EJECTION_MS;
+    traffic->refused_connections =
+        traffic->ejected && traffic->refused_connections;
+    traffic->ejected = true;
+    traffic->ejected_until = now_ms + traffic->ejection_ms;
+    return SAS_TRAFFIC_EJECTED;
 }
 
 static void
 recover(struct sas_server_traffic *traffic)
 {
-    traffic->tripped = false;
-    traffic->shunned_until = 0;
-    traffic->warned_until = 0;
+    traffic->ejected = false;
+    traffic->ejected_until = 0;
+    traffic->peer_ejected_until = 0;
     traffic->failures = 0;
     traffic->timeouts = 0;
 }
@@ -146,7 +148,7 @@
         return eject(fleet, slot, now_ms);
     }
     recover(&SasFleet_At(fleet, slot)->traffic);
-    return SAS_TRAFFIC_WELL;
+    return SAS_TRAFFIC_RECOVERED;
 }
 
 bool
@@ -160,41 +162,42 @@
 static void
 note_service_time(struct sas_fleet *fleet,
                   const struct sas_fleet_server *server,
-                  const struct sas_traffic_end *end)
+                  const struct sas_attempt_result *result)
 {
-    if (!end->timed_out && SasTraffic_FoundSlot(server, end->load_when_sent)) {
+    if (!result->timed_out &&
+        SasTraffic_FoundSlot(server, result->load_when_sent)) {
         SasServiceTime_Note(
             &SasFleet_GetService(fleet, server->service)->service_time,
-            end->known, end->elapsed_ms);
+            result->cached, result->elapsed_ms);
     }
 }
 
 enum sas_traffic_change
-SasTraffic_NoteRun(struct sas_fleet *fleet, int slot,
-                   const struct sas_traffic_end *end, int64_t now_ms)
+SasTraffic_NoteResult(struct sas_fleet *fleet, int slot,
+                      const struct sas_attempt_result *result, int64_t now_ms)
 {
     struct sas_fleet_server *server = SasFleet_At(fleet, slot);
     struct sas_server_traffic *traffic = &server->traffic;
     traffic->failures = 0;
-    if (end->failed) {
+    if (result->failed) {
         return SAS_TRAFFIC_SAME;
     }
-    double relative_time = end->elapsed_ms /
-                           get_queue_factor(server, end->load_when_sent) /
+    double relative_time = result->elapsed_ms /
+                           get_queue_factor(server, result->load_when_sent) /
                            SasTraffic_GetServiceTimeMs(fleet, server->service);
-    bool healthy = !end->timed_out && relative_time <= SasTraffic_TRIAL;
-    traffic->timeouts = end->timed_out ? traffic->timeouts + 1 : 0;
+    bool healthy = !result->timed_out && relative_time <= SasTraffic_MAX_PROBE;
+    traffic->timeouts = result->timed_out ? traffic->timeouts + 1 : 0;
     if (healthy) {
-        traffic->well_at = now_ms;
+        traffic->healthy_at = now_ms;
     }
     bool slow =
-        !healthy || (end->known && relative_time > SasTraffic_SLOW_KNOWN);
+        !healthy || (result->cached && relative_time > SasTraffic_SLOW_CACHED);
     traffic->slow_runs = slow ? traffic->slow_runs + 1 : 0;
-    if (traffic->tripped && now_ms >= traffic->shunned_until) {
+    if (traffic->ejected && now_ms >= traffic->ejected_until) {
         return end_probe(fleet, slot, healthy, now_ms);
     }
-    note_service_time(fleet, server, end);
-    return traffic->timeouts >= SasTraffic_TIMEOUTS
+    note_service_time(fleet, server, result);
+    return traffic->timeouts >= SasTraffic_MAX_TIMEOUTS
                ? eject(fleet, slot, now_ms)
                : SAS_TRAFFIC_SAME;
 }
@@ -204,13 +207,13 @@
                        int64_t now_ms)
 {
     struct sas_server_traffic *traffic = &SasFleet_At(fleet, slot)->traffic;
-    int limit = reset ? SasTraffic_CUTS : SasTraffic_FAILURES;
+    int limit = reset ? SasTraffic_MAX_RESETS : SasTraffic_MAX_FAILURES;
     traffic->failures++;
-    if (!traffic->tripped && traffic->failures < limit) {
+    if (!traffic->ejected && traffic->failures < limit) {
         return SAS_TRAFFIC_SAME;
     }
     enum sas_traffic_change change = eject(fleet, slot, now_ms);
-    traffic->was_down = traffic->was_down || !reset;
+    traffic->refused_connections = traffic->refused_connections || !reset;
     return change;
 }
 
@@ -218,53 +221,53 @@
 SasTraffic_NoteReplaced(struct sas_fleet *fleet, int slot, int64_t now_ms)
 {
     struct sas_server_traffic *traffic = &SasFleet_At(fleet, slot)->traffic;
-    traffic->tripped = true;
-    traffic->hold_ms = SasTraffic_MAX_HOLD_MS;
-    traffic->shunned_until = now_ms + traffic->hold_ms;
-    return SAS_TRAFFIC_TRIPPED;
+    traffic->ejected = true;
+    traffic->ejection_ms = SasTraffic_MAX_EJECTION_MS;
+    traffic->ejected_until = now_ms + traffic->ejection_ms;
+    return SAS_TRAFFIC_EJECTED;
 }
 
 static int64_t
 get_probe_result_ms(const struct sas_fleet *fleet, int slot)
 {
-    return SasTraffic_VERDICT_MS +
-           in_service_times(fleet, slot, SasTraffic_VERDICT);
+    return SasTraffic_PROBE_RESULT_MS +
+           in_service_times(fleet, slot, SasTraffic_PROBE_RESULT);
 }
 
 void
-SasTraffic_TakeWord(struct sas_fleet *fleet, int slot, int64_t left_ms,
-                    bool prober, int64_t now_ms)
+SasTraffic_ApplyPeerReport(struct sas_fleet *fleet, int slot, int64_t left_ms,
+                           bool prober, int64_t now_ms)
 {
     struct sas_server_traffic *traffic = &SasFleet_At(fleet, slot)->traffic;
     if (left_ms == 0) {
         recover(traffic);
         return;
     }
-    if (traffic->well_at > 0 &&
-        now_ms - traffic->well_at <
-            in_service_times(fleet, slot, SasTraffic_WELL)) {
+    if (traffic->healthy_at > 0 &&
+        now_ms - traffic->healthy_at <
+            in_service_times(fleet, slot, SasTraffic_HEALTHY_FOR)) {
         return;
     }
     if (!prober) {
-        traffic->warned_until =
-            MAX(traffic->warned_until,
+        traffic->peer_ejected_until =
+            MAX(traffic->peer_ejected_until,
                 now_ms + left_ms + get_probe_result_ms(fleet, slot));
         return;
     }
-    if (!traffic->tripped) {
-        traffic->tripped = true;
-        traffic->hold_ms = left_ms;
-        traffic->shunned_until = now_ms + left_ms;
+    if (!traffic->ejected) {
+        traffic->ejected = true;
+        traffic->ejection_ms = left_ms;
+        traffic->ejected_until = now_ms + left_ms;
     }
 }
 
 void
-SasTraffic_AwaitWord(struct sas_fleet *fleet, int slot)
+SasTraffic_AwaitPeerReport(struct sas_fleet *fleet, int slot)
 {
     struct sas_server_traffic *traffic = &SasFleet_At(fleet, slot)->traffic;
-    traffic->warned_until =
-        MAX(traffic->warned_until,
-            traffic->shunned_until + get_probe_result_ms(fleet, slot));
+    traffic->peer_ejected_until =
+        MAX(traffic->peer_ejected_until,
+            traffic->ejected_until + get_probe_result_ms(fleet, slot));
 }
 
 void
@@ -282,16 +285,16 @@
 }
 
 bool
-SasTraffic_IsShunned(const struct sas_fleet_server *server, int64_t now_ms)
+SasTraffic_IsEjected(const struct sas_fleet_server *server, int64_t now_ms)
 {
     const struct sas_server_traffic *traffic = &server->traffic;
-    if (now_ms < traffic->warned_until) {
+    if (now_ms < traffic->peer_ejected_until) {
         return true;
     }
-    if (!traffic->tripped) {
+    if (!traffic->ejected) {
         return false;
     }
-    return now_ms < traffic->shunned_until || traffic->in_flight > 0;
+    return now_ms < traffic->ejected_until || traffic->in_flight > 0;
 }
 
 double
@@ -324,8 +327,8 @@
 }
 
 bool
-SasTraffic_HasRoom(const struct sas_fleet *fleet, int slot, int spare,
-                   int64_t now_ms)
+SasTraffic_HasFreeSlots(const struct sas_fleet *fleet, int slot, int spare,
+                        int64_t now_ms)
 {
     return SasTraffic_EstimateLoad(fleet, slot, now_ms) <
            SasFleet_At(fleet, slot)->facts.slots - spare;
--- a/packages/core/tests/test_admission.c
+++ b/packages/core/tests/test_admission.c
@@ -44,7 +44,7 @@
                                           SasFleet_GetRef(fleet, slot));
         }
     }
-    SasFleet_At(fleet, OWNER)->traffic.brief_until =
+    SasFleet_At(fleet, OWNER)->traffic.short_queue_until =
         scene->short_queue ? 2000 : 0;
     if (scene->new_route) {
         SasServiceTime_Init(&service_time, 5.0 * UNCACHED_MS);
--- a/packages/core/tests/test_owner.c
+++ b/packages/core/tests/test_owner.c
@@ -128,8 +128,8 @@
         snprintf(id, sizeof(id), "forms-a-%d", i);
         struct sas_fleet_server *server =
             SasFleet_At(fleet, SasFleet_FindServer(fleet, id));
-        server->traffic.tripped = true;
-        server->traffic.shunned_until = 1000;
+        server->traffic.ejected = true;
+        server->traffic.ejected_until = 1000;
     }
     /* It has 3 servers, an equal share is 23 / 3. */
     assert_in_range(count_in_region(fleet, "a", "east"), OBJECTS / 3,
--- a/packages/core/tests/test_traffic.c
+++ b/packages/core/tests/test_traffic.c
@@ -10,7 +10,7 @@
 #define SERVICE_MS 400
 #define KNOWN_MS 100
 #define PROBE_RESULT_MS                                                       \
-    (SasTraffic_VERDICT_MS + in_service_times(SasTraffic_VERDICT))
+    (SasTraffic_PROBE_RESULT_MS + in_service_times(SasTraffic_PROBE_RESULT))
 
 /* Converts service times to milliseconds. */
 static int64_t
@@ -37,12 +37,12 @@
 end_run(struct sas_fleet *fleet, int slot, double elapsed_ms, bool timed_out,
         int64_t now_ms)
 {
-    struct sas_traffic_end end = {
+    struct sas_attempt_result result = {
         .elapsed_ms = elapsed_ms,
-        .known = true,
+        .cached = true,
         .timed_out = timed_out,
     };
-    return SasTraffic_NoteRun(fleet, slot, &end, now_ms);
+    return SasTraffic_NoteResult(fleet, slot, &result, now_ms);
 }
 
 static void
@@ -73,24 +73,24 @@
     (void)state;
     struct sas_fleet *fleet = start();
     struct sas_fleet_server *server = SasFleet_At(fleet, 0);
-    int64_t silence = in_service_times(SasTraffic_SILENCE);
-    assert_false(SasTraffic_IsSilent(fleet, 0, 5000));
+    int64_t silence = in_service_times(SasTraffic_UNRESPONSIVE);
+    assert_false(SasTraffic_IsUnresponsive(fleet, 0, 5000));
     SasTraffic_NoteSent(server, 1000);
     SasTraffic_NoteSent(server, 1000 + silence - 1);
-    assert_false(SasTraffic_IsSilent(fleet, 0, 1000 + silence - 1));
-    assert_true(SasTraffic_IsSilent(fleet, 0, 1000 + silence));
+    assert_false(SasTraffic_IsUnresponsive(fleet, 0, 1000 + silence - 1));
+    assert_true(SasTraffic_IsUnresponsive(fleet, 0, 1000 + silence));
     /* An answer resets the time for the requests still in flight. */
     SasTraffic_NoteEnded(server, true, 2000);
-    assert_false(SasTraffic_IsSilent(fleet, 0, 2000 + silence - 1));
-    assert_true(SasTraffic_IsSilent(fleet, 0, 2000 + silence));
+    assert_false(SasTraffic_IsUnresponsive(fleet, 0, 2000 + silence - 1));
+    assert_true(SasTraffic_IsUnresponsive(fleet, 0, 2000 + silence));
     /* A canceled request doesn't: then one request at a time is sent. */
     SasTraffic_NoteEnded(server, false, 3000);
-    assert_false(SasTraffic_IsSilent(fleet, 0, 3000));
+    assert_false(SasTraffic_IsUnresponsive(fleet, 0, 3000));
     SasTraffic_NoteSent(server, 3010);
-    assert_true(SasTraffic_IsSilent(fleet, 0, 3010));
+    assert_true(SasTraffic_IsUnresponsive(fleet, 0, 3010));
     SasTraffic_NoteEnded(server, true, 3100);
     SasTraffic_NoteSent(server, 4000);
-    assert_false(SasTraffic_IsSilent(fleet, 0, 4000));
+    assert_false(SasTraffic_IsUnresponsive(fleet, 0, 4000));
     SasFleet_Free(fleet);
 }
 
@@ -109,8 +109,8 @@
     assert_false(SasTraffic_IsSlow(server));
     end_run(fleet, 0, SERVICE_MS + 1, false, 1300);
     assert_true(SasTraffic_IsSlow(server));
-    struct sas_traffic_end new_object = {.elapsed_ms = SERVICE_MS + 1};
-    SasTraffic_NoteRun(fleet, 0, &new_object, 1400);
+    struct sas_attempt_result new_object = {.elapsed_ms = SERVICE_MS + 1};
+    SasTraffic_NoteResult(fleet, 0, &new_object, 1400);
     assert_false(SasTraffic_IsSlow(server));
     SasFleet_Free(fleet);
 }
@@ -133,10 +133,10 @@
     SasTraffic_NoteReport(fleet, 0, &full, 1000 + standing);
     int64_t last = 1000 + 2 * standing;
     SasTraffic_NoteReport(fleet, 0, &full, last - 100);
-    assert_true(traffic->brief_until <= last - 100);
+    assert_true(traffic->short_queue_until <= last - 100);
     SasTraffic_NoteReport(fleet, 0, &full, last);
-    assert_int_equal(traffic->brief_until,
-                     last + in_service_times(SasTraffic_BRIEF));
+    assert_int_equal(traffic->short_queue_until,
+                     last + in_service_times(SasTraffic_SHORT_QUEUE));
     SasFleet_Free(fleet);
 }
 
@@ -149,26 +149,26 @@
     (void)state;
     struct sas_fleet *fleet = start();
     const struct sas_fleet_server *server = SasFleet_At(fleet, 0);
-    for (int i = 1; i < SasTraffic_TIMEOUTS; i++) {
+    for (int i = 1; i < SasTraffic_MAX_TIMEOUTS; i++) {
         assert_int_equal(end_run(fleet, 0, 1000, true, 1000),
                          SAS_TRAFFIC_SAME);
     }
-    assert_int_equal(end_run(fleet, 0, 1000, true, 1010), SAS_TRAFFIC_TRIPPED);
-    assert_true(SasTraffic_IsShunned(server, 1010));
+    assert_int_equal(end_run(fleet, 0, 1000, true, 1010), SAS_TRAFFIC_EJECTED);
+    assert_true(SasTraffic_IsEjected(server, 1010));
     /* Timeouts of requests sent before the ejection change nothing. */
     assert_int_equal(end_run(fleet, 0, 1000, true, 1500), SAS_TRAFFIC_SAME);
-    int64_t probe_at = 1010 + SasTraffic_HOLD_MS;
-    assert_false(SasTraffic_IsShunned(server, probe_at));
+    int64_t probe_at = 1010 + SasTraffic_EJECTION_MS;
+    assert_false(SasTraffic_IsEjected(server, probe_at));
     SasTraffic_NoteSent(SasFleet_At(fleet, 0), 0);
-    assert_true(SasTraffic_IsShunned(server, probe_at + 1)); /* one only */
+    assert_true(SasTraffic_IsEjected(server, probe_at + 1)); /* one only */
     SasTraffic_NoteEnded(SasFleet_At(fleet, 0), true, 0);
     assert_int_equal(end_run(fleet, 0, 900, false, probe_at + 900),
-                     SAS_TRAFFIC_TRIPPED);
-    int64_t again_at = probe_at + 900 + 2LL * SasTraffic_HOLD_MS;
-    assert_true(SasTraffic_IsShunned(server, again_at - 1));
+                     SAS_TRAFFIC_EJECTED);
+    int64_t again_at = probe_at + 900 + 2LL * SasTraffic_EJECTION_MS;
+    assert_true(SasTraffic_IsEjected(server, again_at - 1));
     assert_int_equal(end_run(fleet, 0, 300, false, again_at),
-                     SAS_TRAFFIC_WELL);
-    assert_false(SasTraffic_IsShunned(server, again_at));
+                     SAS_TRAFFIC_RECOVERED);
+    assert_false(SasTraffic_IsEjected(server, again_at));
     SasFleet_Free(fleet);
 }
 
@@ -194,17 +194,17 @@
 {
     (void)state;
     struct sas_fleet *fleet = start();
-    for (int i = 1; i < SasTraffic_TIMEOUTS; i++) {
+    for (int i = 1; i < SasTraffic_MAX_TIMEOUTS; i++) {
         assert_int_equal(end_run(fleet, 0, 15 * KNOWN_MS, true, 1000),
                          SAS_TRAFFIC_SAME);
     }
     end_run(fleet, 0, KNOWN_MS, false, 1000);
-    for (int i = 1; i < SasTraffic_TIMEOUTS; i++) {
+    for (int i = 1; i < SasTraffic_MAX_TIMEOUTS; i++) {
         assert_int_equal(end_run(fleet, 0, 15 * KNOWN_MS, true, 1000),
                          SAS_TRAFFIC_SAME);
     }
     assert_int_equal(end_run(fleet, 0, 15 * KNOWN_MS, true, 1000),
-                     SAS_TRAFFIC_TRIPPED);
+                     SAS_TRAFFIC_EJECTED);
     SasFleet_Free(fleet);
 }
 
@@ -217,9 +217,9 @@
     struct sas_fleet *fleet = start();
     int ejected = 0;
     for (int slot = 0; slot < SERVERS; slot++) {
-        for (int i = 0; i < SasTraffic_FAILURES; i++) {
+        for (int i = 0; i < SasTraffic_MAX_FAILURES; i++) {
             if (SasTraffic_NoteFailure(fleet, slot, false, 1000) ==
-                SAS_TRAFFIC_TRIPPED) {
+                SAS_TRAFFIC_EJECTED) {
                 ejected++;
             }
         }
@@ -245,7 +245,7 @@
     }
     SasTraffic_NoteFailure(fleet, 1, false, 1000);
     assert_int_equal(SasTraffic_NoteFailure(fleet, 1, false, 1000),
-                     SAS_TRAFFIC_TRIPPED);
+                     SAS_TRAFFIC_EJECTED);
     SasFleet_Free(fleet);
 }
 
@@ -257,10 +257,10 @@
     (void)state;
     struct sas_fleet *fleet = start();
     end_run(fleet, 0, 100, false, 1000);
-    SasTraffic_TakeWord(fleet, 0, 1500, false, 1100);
-    assert_false(SasTraffic_IsShunned(SasFleet_At(fleet, 0), 1100));
-    SasTraffic_TakeWord(fleet, 1, 1500, false, 1100);
-    assert_true(SasTraffic_IsShunned(SasFleet_At(fleet, 1), 1100));
+    SasTraffic_ApplyPeerReport(fleet, 0, 1500, false, 1100);
+    assert_false(SasTraffic_IsEjected(SasFleet_At(fleet, 0), 1100));
+    SasTraffic_ApplyPeerReport(fleet, 1, 1500, false, 1100);
+    assert_true(SasTraffic_IsEjected(SasFleet_At(fleet, 1), 1100));
     SasFleet_Free(fleet);
 }
 
@@ -274,15 +274,15 @@
     struct sas_fleet *fleet = start();
     struct sas_fleet_server *prober = SasFleet_At(fleet, 0);
     struct sas_fleet_server *other = SasFleet_At(fleet, 1);
-    SasTraffic_TakeWord(fleet, 0, 1500, true, 1000);
-    SasTraffic_TakeWord(fleet, 1, 1500, false, 1000);
-    assert_true(SasTraffic_IsShunned(prober, 2499));
-    assert_false(SasTraffic_IsShunned(prober, 2500));
-    assert_true(SasTraffic_IsShunned(other, 2500));
-    SasTraffic_TakeWord(fleet, 1, 0, false, 2600);
-    assert_false(SasTraffic_IsShunned(other, 2600));
-    SasTraffic_TakeWord(fleet, 1, 1500, false, 3000);
-    assert_false(SasTraffic_IsShunned(other, 3000 + 1500 + PROBE_RESULT_MS));
+    SasTraffic_ApplyPeerReport(fleet, 0, 1500, true, 1000);
+    SasTraffic_ApplyPeerReport(fleet, 1, 1500, false, 1000);
+    assert_true(SasTraffic_IsEjected(prober, 2499));
+    assert_false(SasTraffic_IsEjected(prober, 2500));
+    assert_true(SasTraffic_IsEjected(other, 2500));
+    SasTraffic_ApplyPeerReport(fleet, 1, 0, false, 2600);
+    assert_false(SasTraffic_IsEjected(other, 2600));
+    SasTraffic_ApplyPeerReport(fleet, 1, 1500, false, 3000);
+    assert_false(SasTraffic_IsEjected(other, 3000 + 1500 + PROBE_RESULT_MS));
     SasFleet_Free(fleet);
 }
 
--- a/packages/gateway/src/relay_attempt.c
+++ b/packages/gateway/src/relay_attempt.c
@@ -353,23 +353,23 @@
         return;
     }
     int64_t now_ms = SasRelay_Now(relay);
-    struct sas_traffic_end end = {
+    struct sas_attempt_result result = {
         .elapsed_ms = (double)(now_ms - call->sent_at),
         .load_when_sent = call->load_when_sent,
-        .known = call->cached,
+        .cached = call->cached,
         .timed_out = timed_out,
         .failed = !timed_out && call->status / 100 != 2,
     };
     SasRelay_ReportChange(
         relay, call->server.slot,
-        SasTraffic_NoteRun(fleet, call->server.slot, &end, now_ms),
+        SasTraffic_NoteResult(fleet, call->server.slot, &result, now_ms),
         timed_out ? "timed out" : "slow");
     if (relay->rows_stale &&
         SasTraffic_IsSlow(SasFleet_At(fleet, call->server.slot))) {
         SasRelay_AssumeCold(relay, call->server.slot);
     }
     if (!timed_out && call->status / 100 == 2) {
-        note_service_time(call, end.elapsed_ms);
+        note_service_time(call, result.elapsed_ms);
         SasRelay_NoteAnswered(relay, call->server.slot);
     }
     else if (!timed_out && call->status >= 500) {
--- a/packages/gateway/src/relay_choose.c
+++ b/packages/gateway/src/relay_choose.c
@@ -209,9 +209,9 @@
     for (int i = 1; i < count; i++) {
         const struct sas_fleet_server *server = SasFleet_At(fleet, slots[i]);
         if (!SasTraffic_IsGrey(server, now_ms) &&
-            now_ms >= server->traffic.brief_until &&
-            SasTraffic_HasRoom(fleet, slots[i], SasAdmission_SPARE_SLOTS,
-                               now_ms)) {
+            now_ms >= server->traffic.short_queue_until &&
+            SasTraffic_HasFreeSlots(fleet, slots[i], SasAdmission_SPARE_SLOTS,
+                                    now_ms)) {
             slots[0] = slots[i];
             return 1;
         }
@@ -249,7 +249,7 @@
     int kept = 0;
     int responsive[SasOwner_MAX_CANDIDATES];
     for (int i = 0; i < count; i++) {
-        if (!SasTraffic_IsSilent(fleet, slots[i], now_ms)) {
+        if (!SasTraffic_IsUnresponsive(fleet, slots[i], now_ms)) {
             responsive[kept++] = slots[i];
         }
     }
--- a/packages/gateway/src/relay_peers.c
+++ b/packages/gateway/src/relay_peers.c
@@ -64,7 +64,7 @@
     }
     struct sas_fleet_server *server = SasFleet_At(relay->options.fleet, slot);
     const struct sas_server_traffic *traffic = &server->traffic;
-    bool ejected = change == SAS_TRAFFIC_TRIPPED;
+    bool ejected = change == SAS_TRAFFIC_EJECTED;
     struct sas_metrics *metrics = relay->options.metrics;
     int counter = SasMetrics_Register(metrics, "sas_servers_tripped_total",
                                       "cause", ejected ? cause : "well again",
@@ -72,8 +72,8 @@
     SasMetrics_Add(metrics, counter, 1);
     struct sas_mesh_ejection ejection = {
         .server_hash = server->hash,
-        .left_ms = ejected ? traffic->hold_ms : 0,
-        .restarted = !ejected && traffic->was_down,
+        .left_ms = ejected ? traffic->ejection_ms : 0,
+        .restarted = !ejected && traffic->refused_connections,
     };
     if (ejection.restarted) {
         assume_cold(relay, slot);
@@ -82,14 +82,14 @@
         relay->options.mesh, &ejection,
         SasFleet_GetServerRegion(relay->options.fleet, slot));
     if (ejected && !is_prober(relay, slot)) {
-        SasTraffic_AwaitWord(relay->options.fleet, slot);
+        SasTraffic_AwaitPeerReport(relay->options.fleet, slot);
     }
     SasLog_WriteFields(
         SasLog_WARN, ejected ? "server.tripped" : "server.well",
         server->facts.id, "{s:s, s:i, s:i, s:f}", "cause",
         ejected ? cause : "its trial", "for_ms",
-        ejected ? (int)traffic->hold_ms : 0, "in_flight", traffic->in_flight,
-        "pace_ms",
+        ejected ? (int)traffic->ejection_ms : 0, "in_flight",
+        traffic->in_flight, "pace_ms",
         SasTraffic_GetServiceTimeMs(relay->options.fleet, server->service));
 }
 
@@ -101,17 +101,17 @@
 {
     struct sas_fleet_server *server = SasFleet_At(relay->options.fleet, slot);
     bool prober = is_prober(relay, slot);
-    bool was_ejected = server->traffic.tripped;
+    bool was_ejected = server->traffic.ejected;
     if (ejection->grey_failure) {
         SasTraffic_NoteGrey(server, ejection->left_ms, SasRelay_Now(relay));
         return;
     }
-    SasTraffic_TakeWord(relay->options.fleet, slot, ejection->left_ms, prober,
-                        SasRelay_Now(relay));
+    SasTraffic_ApplyPeerReport(relay->options.fleet, slot, ejection->left_ms,
+                               prober, SasRelay_Now(relay));
     if (ejection->restarted) {
         assume_cold(relay, slot);
     }
-    if (prober && was_ejected != server->traffic.tripped) {
+    if (prober && was_ejected != server->traffic.ejected) {
         SasMesh_ReportEjection(
             relay->options.mesh, ejection,
             SasFleet_GetServerRegion(relay->options.fleet, slot));
--- a/packages/gateway/src/view.c
+++ b/packages/gateway/src/view.c
@@ -25,7 +25,7 @@
     if (!SasFleet_IsOpen(fleet, slot)) {
         return "evacuated";
     }
-    if (SasTraffic_IsShunned(server, now_ms)) {
+    if (SasTraffic_IsEjected(server, now_ms)) {
         return "shunned";
     }
     return server->facts.cold_until_ms > now_ms ? "cold" : "ready";
@@ -44,7 +44,7 @@
         int64_t load_age_ms =
             traffic->reported_at > 0 ? now_ms - traffic->reported_at : -1;
         int64_t shunned_ms =
-            MAX(traffic->shunned_until, traffic->warned_until) - now_ms;
+            MAX(traffic->ejected_until, traffic->peer_ejected_until) - now_ms;
         json_array_append_new(
             rows, json_pack("{s:s, s:s, s:s, s:s, s:f, s:I, s:i, s:I}", "id",
                             server->facts.id, "service", server->facts.service,
--- a/tools/emulate.c
+++ b/tools/emulate.c
@@ -235,12 +235,12 @@
     if (change == SAS_TRAFFIC_SAME) {
         return;
     }
-    int tester = servers[slot].zone;
+    int prober = servers[slot].zone;
     for (int vm = 0; vm < VMS; vm++) {
         int64_t left_ms =
-            change == SAS_TRAFFIC_TRIPPED ? SasTraffic_HOLD_MS : 0;
-        SasTraffic_TakeWord(fleets[vm], slot, left_ms, vm == tester,
-                            (int64_t)now_ms);
+            change == SAS_TRAFFIC_EJECTED ? SasTraffic_EJECTION_MS : 0;
+        SasTraffic_ApplyPeerReport(fleets[vm], slot, left_ms, vm == prober,
+                                   (int64_t)now_ms);
     }
 }
 
@@ -248,16 +248,16 @@
 note_run(struct request *request, bool timed_out)
 {
     struct sas_fleet *fleet = fleets[request->vm];
-    struct sas_traffic_end end = {
+    struct sas_attempt_result result = {
         .elapsed_ms = now_ms - request->sent_at,
         .load_when_sent = request->load_when_sent,
-        .known = request->known,
+        .cached = request->known,
         .timed_out = timed_out,
     };
     SasTraffic_NoteEnded(SasFleet_At(fleet, request->server), !timed_out,
                          (int64_t)now_ms);
-    tell_all(request->server, SasTraffic_NoteRun(fleet, request->server, &end,
-                                                 (int64_t)now_ms));
+    tell_all(request->server, SasTraffic_NoteResult(fleet, request->server,
+                                                    &result, (int64_t)now_ms));
 }
 
 static uint64_t
