--- a/packages/core/include/sas/membership.h
+++ b/packages/core/include/sas/membership.h
@@ -18,7 +18,7 @@
  * member ignores it. Suspicions make a failure known at all members within
  * seconds, also where the table is too large for one message.
  *
- * While this node is partitioned (SasMembership_IsCutOff), the ages say
+ * While this node is partitioned (SasMembership_IsPartitioned), the ages say
  * nothing about the other members, and it raises no suspicion.
  *
  * Times are milliseconds of one monotonic clock, passed in. Functions that
@@ -32,14 +32,16 @@
 #include <stdbool.h>
 #include <stdint.h>
 
-#define SasMembership_DIGEST_SEATS 64 /* updates in one message */
-#define SasMembership_SILENCE_LIMIT 2 /* timeouts that raise a suspicion */
+#define SasMembership_DIGEST_MEMBERS 64 /* updates in one message */
+#define SasMembership_SUSPECT_TIMEOUTS                                        \
+    2 /* timeouts that raise a suspicion                                      \
+       */
 
 enum sas_member_state {
     SAS_MEMBER_UNKNOWN, /* no update of it yet */
     SAS_MEMBER_LIVE,
-    SAS_MEMBER_SUSPECT, /* old updates or pings timed out; may be alive */
-    SAS_MEMBER_GONE,    /* dead: too old, or a suspicion was not refuted */
+    SAS_MEMBER_SUSPECTED, /* old updates or pings timed out; may be alive */
+    SAS_MEMBER_DEAD,      /* dead: too old, or a suspicion was not refuted */
     SAS_MEMBER_LEAVING
 };
 
@@ -49,27 +51,28 @@
 };
 
 /* Update of one member, as sent and received. */
-struct sas_member_news {
-    int seat;
+struct sas_member_update {
+    int member_id;
     bool leaving;
     uint64_t incarnation;
     uint64_t config_version;
     uint32_t heartbeat;
-    uint32_t doubt; /* suspicion; 0: none */
-    int64_t age_ms; /* of the heartbeat */
+    uint32_t suspicion; /* suspicion; 0: none */
+    int64_t age_ms;     /* of the heartbeat */
 };
 
 struct sas_member {
     uint64_t incarnation; /* 0: unknown */
     uint64_t config_version;
     int64_t heartbeat_ms; /* when its heartbeat was sent */
-    int64_t direct_ms; /* last message from the member itself to this node */
-    int64_t doubt_ms;  /* when the suspicion became known here */
+    int64_t received_ms; /* last message from the member itself to this node */
+    int64_t suspicion_ms; /* when the suspicion became known here */
     uint32_t heartbeat;
-    uint32_t doubt; /* suspicion; 0: none */
+    uint32_t suspicion; /* suspicion; 0: none */
     bool leaving;
-    uint8_t sends_left; /* messages in which a change is still to be sent */
-    uint8_t timeouts;   /* pings without an answer, in a row */
+    /* messages in which a change is still to be sent */
+    uint8_t retransmits_left;
+    uint8_t timeouts; /* pings without an answer, in a row */
 };
 
 /* Times that depend on the number of members. */
@@ -77,7 +80,7 @@
     int64_t interval_ms;  /* between rounds of gossip */
     int fanout;           /* members pinged in a round */
     int64_t suspect_ms;   /* age from which a member is suspected */
-    int64_t gone_ms;      /* age from which it is dead */
+    int64_t dead_ms;      /* age from which it is dead */
     int64_t refute_ms;    /* age of a suspicion from which it is dead */
     int64_t partition_ms; /* no message for this time: partitioned */
 };
@@ -88,7 +91,8 @@
     int own;           /* member id of this node */
     int64_t direct_ms; /* last message from any member itself */
     uint64_t highest_version;
-    uint64_t replaced_by; /* incarnation of a newer process of this member */
+    /* incarnation of a newer process of this member */
+    uint64_t newer_incarnation;
     struct sas_membership_times times;
 };
 
@@ -107,31 +111,36 @@
 
 /* The own member: a heartbeat each round, the config version in force,
  * leaving. */
-void SasMembership_Beat(struct sas_membership *table, int64_t now_ms);
+void SasMembership_IncrementHeartbeat(struct sas_membership *table,
+                                      int64_t now_ms);
 int SasMembership_SetVersion(struct sas_membership *table, uint64_t version);
 int SasMembership_SetLeaving(struct sas_membership *table);
 
-/* Raises the own incarnation above replaced_by. For a member that no other
- * process can be: the higher incarnation is of an earlier run, since when the
- * clock went back. Returns the new incarnation, 0 if none is needed. */
-uint64_t SasMembership_Renew(struct sas_membership *table, int64_t now_ms);
+/* Raises the own incarnation above newer_incarnation. For a member that no
+ * other process can be: the higher incarnation is of an earlier run, since
+ * when the clock went back. Returns the new incarnation, 0 if none is needed.
+ */
+uint64_t SasMembership_RaiseIncarnation(struct sas_membership *table,
+                                        int64_t now_ms);
 
 /* Merges an update, from the member itself or relayed. */
 int SasMembership_Merge(struct sas_membership *table,
-                        const struct sas_member_news *update, int64_t now_ms);
+                        const struct sas_member_update *update,
+                        int64_t now_ms);
 
 /* An authenticated message arrived from the member itself. */
 void SasMembership_NoteDirect(struct sas_membership *table, int member_id,
                               uint64_t incarnation, int64_t now_ms);
 
 /* A ping to the member timed out. */
-int SasMembership_NoteSilence(struct sas_membership *table, int member_id,
+int SasMembership_NoteTimeout(struct sas_membership *table, int member_id,
                               int64_t now_ms);
 
 /* Whether to ping the member again at once: one timeout so far, a second one
  * raises the suspicion. Among many members, random picks would hardly ever
  * choose the same one twice in a row. */
-bool SasMembership_MayRetry(const struct sas_membership *table, int member_id);
+bool SasMembership_ShouldRetry(const struct sas_membership *table,
+                               int member_id);
 
 /* State of a member. GetAge: time since its newest heartbeat or direct
  * message; 0 for the own member, a day for an unknown one. */
@@ -143,8 +152,8 @@
 
 /* Whether this node is partitioned: no message from any member for
  * times.partition_ms. */
-bool SasMembership_IsCutOff(const struct sas_membership *table,
-                            int64_t now_ms);
+bool SasMembership_IsPartitioned(const struct sas_membership *table,
+                                 int64_t now_ms);
 
 const char *SasMembership_GetStateName(enum sas_member_state state);
 
@@ -156,12 +165,12 @@
 /* Up to `max` updates for a message: the own member, then recent changes that
  * were not sent often enough yet, then others from a random start on. */
 int SasMembership_FillDigest(struct sas_membership *table, GRand *random,
-                             int64_t now_ms, struct sas_member_news *updates,
+                             int64_t now_ms, struct sas_member_update *updates,
                              int max);
 
 /* The update of one member, for a message about it alone. */
-void SasMembership_GetNews(const struct sas_membership *table, int member_id,
-                           int64_t now_ms, struct sas_member_news *update);
+void SasMembership_GetUpdate(const struct sas_membership *table, int member_id,
+                             int64_t now_ms, struct sas_member_update *update);
 
 /* Leaving backend servers. There are three sources; one suffices. A source's
  * mark sticks to that incarnation of the server, a new incarnation starts
--- a/packages/core/src/membership.c
+++ b/packages/core/src/membership.c
@@ -33,20 +33,20 @@
 static int64_t get_interval(int member_count);
 static bool is_member(const struct sas_membership *table, int member_id);
 static int merge_own(struct sas_membership *table,
-                     const struct sas_member_news *update, int64_t now_ms);
+                     const struct sas_member_update *update, int64_t now_ms);
 static void merge_heartbeat(struct sas_member *member, uint32_t heartbeat,
                             int64_t heartbeat_ms);
 static int raise_highest_version(struct sas_membership *table,
                                  uint64_t version);
-static uint32_t bound_suspicion(const struct sas_member_news *update);
+static uint32_t bound_suspicion(const struct sas_member_update *update);
 static uint8_t get_sends(const struct sas_membership *table);
 static bool is_suspected(const struct sas_member *member);
 static void shuffle_front(GRand *random, int *member_ids, int count,
                           int picked);
 static void fill_update(const struct sas_membership *table, int member_id,
-                        int64_t now_ms, struct sas_member_news *update);
+                        int64_t now_ms, struct sas_member_update *update);
 static int fill_changes(struct sas_membership *table, GRand *random,
-                        int64_t now_ms, struct sas_member_news *updates,
+                        int64_t now_ms, struct sas_member_update *updates,
                         int max, bool *taken);
 
 /* Table */
@@ -65,8 +65,8 @@
     self->incarnation = incarnation;
     self->heartbeat = 1;
     self->heartbeat_ms = now_ms;
-    self->direct_ms = now_ms;
-    self->sends_left = get_sends(table);
+    self->received_ms = now_ms;
+    self->retransmits_left = get_sends(table);
 }
 
 void
@@ -98,14 +98,14 @@
         interval_ms = get_interval(member_count);
     }
     double members = MAX(member_count, 2);
-    double messages = ceil(members / SasMembership_DIGEST_SEATS);
+    double messages = ceil(members / SasMembership_DIGEST_MEMBERS);
     int64_t rounds =
         (int64_t)(SUSPECT_ROUNDS + TAIL_FACTOR * messages * log2(members));
     int64_t dead_rounds = MAX(DEAD_FACTOR * rounds, MIN_DEAD_ROUNDS);
     times->interval_ms = interval_ms;
     times->fanout = FANOUT;
     times->suspect_ms = rounds * interval_ms;
-    times->gone_ms = dead_rounds * interval_ms;
+    times->dead_ms = dead_rounds * interval_ms;
     times->refute_ms = REFUTE_ROUNDS * interval_ms;
     times->partition_ms = PARTITION_ROUNDS * interval_ms;
 }
@@ -113,12 +113,12 @@
 /* Own member */
 
 void
-SasMembership_Beat(struct sas_membership *table, int64_t now_ms)
+SasMembership_IncrementHeartbeat(struct sas_membership *table, int64_t now_ms)
 {
     struct sas_member *self = &table->members[table->own];
     self->heartbeat++;
     self->heartbeat_ms = now_ms;
-    self->direct_ms = now_ms;
+    self->received_ms = now_ms;
 }
 
 int
@@ -137,20 +137,20 @@
         return 0;
     }
     self->leaving = true;
-    self->sends_left = get_sends(table);
+    self->retransmits_left = get_sends(table);
     return SAS_CHANGE_MEMBER;
 }
 
 uint64_t
-SasMembership_Renew(struct sas_membership *table, int64_t now_ms)
+SasMembership_RaiseIncarnation(struct sas_membership *table, int64_t now_ms)
 {
     struct sas_member *self = &table->members[table->own];
-    if (table->replaced_by <= self->incarnation) {
+    if (table->newer_incarnation <= self->incarnation) {
         return 0;
     }
-    self->incarnation = table->replaced_by + 1;
-    self->sends_left = get_sends(table);
-    SasMembership_Beat(table, now_ms);
+    self->incarnation = table->newer_incarnation + 1;
+    self->retransmits_left = get_sends(table);
+    SasMembership_IncrementHeartbeat(table, now_ms);
     return self->incarnation;
 }
 
@@ -158,15 +158,15 @@
 
 int
 SasMembership_Merge(struct sas_membership *table,
-                    const struct sas_member_news *update, int64_t now_ms)
+                    const struct sas_member_update *update, int64_t now_ms)
 {
-    if (!is_member(table, update->seat) || update->incarnation == 0) {
+    if (!is_member(table, update->member_id) || update->incarnation == 0) {
         return 0;
     }
-    if (update->seat == table->own) {
+    if (update->member_id == table->own) {
         return merge_own(table, update, now_ms);
     }
-    struct sas_member *member = &table->members[update->seat];
+    struct sas_member *member = &table->members[update->member_id];
     int changes = raise_highest_version(table, update->config_version);
     if (update->incarnation < member->incarnation) {
         return changes;
@@ -185,15 +185,15 @@
         changes |= SAS_CHANGE_MEMBER;
     }
     uint32_t suspicion = bound_suspicion(update);
-    if (suspicion > member->doubt) {
-        member->doubt = suspicion;
-        member->doubt_ms = now_ms;
+    if (suspicion > member->suspicion) {
+        member->suspicion = suspicion;
+        member->suspicion_ms = now_ms;
         changes |= is_suspected(member) ? SAS_CHANGE_MEMBER : 0;
     }
     member->config_version =
         MAX(member->config_version, update->config_version);
     if ((changes & SAS_CHANGE_MEMBER) != 0) {
-        member->sends_left = get_sends(table);
+        member->retransmits_left = get_sends(table);
     }
     return changes;
 }
@@ -208,7 +208,7 @@
     table->direct_ms = now_ms;
     struct sas_member *member = &table->members[member_id];
     if (member->incarnation == incarnation) {
-        member->direct_ms = now_ms;
+        member->received_ms = now_ms;
         member->timeouts = 0;
     }
 }
@@ -217,32 +217,33 @@
  * partition heals, its suspicions would spread and each member would have to
  * refute them. Without any message, a timeout says nothing of a member. */
 int
-SasMembership_NoteSilence(struct sas_membership *table, int member_id,
+SasMembership_NoteTimeout(struct sas_membership *table, int member_id,
                           int64_t now_ms)
 {
     if (!is_member(table, member_id) || member_id == table->own) {
         return 0;
     }
     struct sas_member *member = &table->members[member_id];
-    if (member->timeouts < SasMembership_SILENCE_LIMIT) {
+    if (member->timeouts < SasMembership_SUSPECT_TIMEOUTS) {
         member->timeouts++;
     }
     if (member->incarnation == 0 || is_suspected(member) ||
-        member->timeouts < SasMembership_SILENCE_LIMIT ||
-        SasMembership_IsCutOff(table, now_ms)) {
+        member->timeouts < SasMembership_SUSPECT_TIMEOUTS ||
+        SasMembership_IsPartitioned(table, now_ms)) {
         return 0;
     }
     int64_t missed_heartbeats =
         (now_ms - member->heartbeat_ms) / table->times.interval_ms;
-    member->doubt = member->heartbeat + (uint32_t)CLAMP(missed_heartbeats, 0,
-                                                        MAX_MISSED_HEARTBEATS);
-    member->doubt_ms = now_ms;
-    member->sends_left = get_sends(table);
+    member->suspicion =
+        member->heartbeat +
+        (uint32_t)CLAMP(missed_heartbeats, 0, MAX_MISSED_HEARTBEATS);
+    member->suspicion_ms = now_ms;
+    member->retransmits_left = get_sends(table);
     return SAS_CHANGE_MEMBER;
 }
 
 bool
-SasMembership_MayRetry(const struct sas_membership *table, int member_id)
+SasMembership_ShouldRetry(const struct sas_membership *table, int member_id)
 {
     if (!is_member(table, member_id) || member_id == table->own) {
         return false;
@@ -250,7 +251,7 @@
     const struct sas_member *member = &table->members[member_id];
     return member->incarnation != 0 && !is_suspected(member) &&
            member->timeouts > 0 &&
-           member->timeouts < SasMembership_SILENCE_LIMIT;
+           member->timeouts < SasMembership_SUSPECT_TIMEOUTS;
 }
 
 /* State of members */
@@ -269,16 +270,17 @@
     }
     int64_t age_ms = SasMembership_GetAge(table, member_id, now_ms);
     bool suspected =
-        is_suspected(member) && member->direct_ms <= member->doubt_ms;
-    if (age_ms >= table->times.gone_ms ||
-        (suspected && now_ms - member->doubt_ms >= table->times.refute_ms)) {
-        return SAS_MEMBER_GONE;
+        is_suspected(member) && member->received_ms <= member->suspicion_ms;
+    if (age_ms >= table->times.dead_ms ||
+        (suspected &&
+         now_ms - member->suspicion_ms >= table->times.refute_ms)) {
+        return SAS_MEMBER_DEAD;
     }
     if (member->leaving) {
         return SAS_MEMBER_LEAVING;
     }
     if (suspected || age_ms >= table->times.suspect_ms) {
-        return SAS_MEMBER_SUSPECT;
+        return SAS_MEMBER_SUSPECTED;
     }
     return SAS_MEMBER_LIVE;
 }
@@ -295,11 +297,11 @@
         return 0;
     }
     const struct sas_member *member = &table->members[member_id];
-    return now_ms - MAX(member->heartbeat_ms, member->direct_ms);
+    return now_ms - MAX(member->heartbeat_ms, member->received_ms);
 }
 
 bool
-SasMembership_IsCutOff(const struct sas_membership *table, int64_t now_ms)
+SasMembership_IsPartitioned(const struct sas_membership *table, int64_t now_ms)
 {
     return table->count > 1 &&
            now_ms - table->direct_ms >= table->times.partition_ms;
@@ -313,9 +315,9 @@
         return "unknown";
     case SAS_MEMBER_LIVE:
         return "live";
-    case SAS_MEMBER_SUSPECT:
+    case SAS_MEMBER_SUSPECTED:
         return "suspect";
-    case SAS_MEMBER_GONE:
+    case SAS_MEMBER_DEAD:
         return "gone";
     case SAS_MEMBER_LEAVING:
         return "leaving";
@@ -338,7 +340,7 @@
             continue;
         }
         if (SasMembership_GetState(table, member_id, now_ms) ==
-            SAS_MEMBER_GONE) {
+            SAS_MEMBER_DEAD) {
             dead[dead_count++] = member_id;
         }
         else {
@@ -360,7 +362,7 @@
 
 int
 SasMembership_FillDigest(struct sas_membership *table, GRand *random,
-                         int64_t now_ms, struct sas_member_news *updates,
+                         int64_t now_ms, struct sas_member_update *updates,
                          int max)
 {
     if (max <= 0) {
@@ -382,8 +384,8 @@
 }
 
 void
-SasMembership_GetNews(const struct sas_membership *table, int member_id,
-                      int64_t now_ms, struct sas_member_news *update)
+SasMembership_GetUpdate(const struct sas_membership *table, int member_id,
+                        int64_t now_ms, struct sas_member_update *update)
 {
     fill_update(table, member_id, now_ms, update);
 }
@@ -472,12 +474,13 @@
  * higher incarnation means that another process was started for this member
  * while this one was paused or partitioned; the owner has to stop. */
 static int
-merge_own(struct sas_membership *table, const struct sas_member_news *update,
+merge_own(struct sas_membership *table, const struct sas_member_update *update,
           int64_t now_ms)
 {
     struct sas_member *self = &table->members[table->own];
     if (update->incarnation > self->incarnation) {
-        table->replaced_by = MAX(table->replaced_by, update->incarnation);
+        table->newer_incarnation =
+            MAX(table->newer_incarnation, update->incarnation);
         return 0;
     }
     uint32_t suspicion = bound_suspicion(update);
@@ -486,8 +489,8 @@
         return 0;
     }
     self->heartbeat = suspicion;
-    SasMembership_Beat(table, now_ms);
-    self->sends_left = get_sends(table);
+    SasMembership_IncrementHeartbeat(table, now_ms);
+    self->retransmits_left = get_sends(table);
     return SAS_CHANGE_MEMBER;
 }
 
@@ -521,10 +524,10 @@
 /* Bounds how far a suspicion is ahead of its heartbeat: otherwise a single
  * wrong message could use up the heartbeats of a member. */
 static uint32_t
-bound_suspicion(const struct sas_member_news *update)
+bound_suspicion(const struct sas_member_update *update)
 {
     uint64_t limit = (uint64_t)update->heartbeat + MAX_MISSED_HEARTBEATS;
-    return (uint32_t)MIN(update->doubt, MIN(limit, UINT32_MAX - 1));
+    return (uint32_t)MIN(update->suspicion, MIN(limit, UINT32_MAX - 1));
 }
 
 static uint8_t
@@ -536,7 +539,7 @@
 static bool
 is_suspected(const struct sas_member *member)
 {
-    return member->doubt != 0 && member->doubt >= member->heartbeat;
+    return member->suspicion != 0 && member->suspicion >= member->heartbeat;
 }
 
 /* Moves `picked` random entries to the front. */
@@ -553,15 +556,15 @@
 
 static void
 fill_update(const struct sas_membership *table, int member_id, int64_t now_ms,
-            struct sas_member_news *update)
+            struct sas_member_update *update)
 {
     const struct sas_member *member = &table->members[member_id];
-    update->seat = member_id;
+    update->member_id = member_id;
     update->leaving = member->leaving;
     update->incarnation = member->incarnation;
     update->config_version = member->config_version;
     update->heartbeat = member->heartbeat;
-    update->doubt = member->doubt;
+    update->suspicion = member->suspicion;
     update->age_ms =
         member_id == table->own ? 0 : now_ms - member->heartbeat_ms;
 }
@@ -571,19 +574,20 @@
  * table the last suspicions would be sent minutes later. */
 static int
 fill_changes(struct sas_membership *table, GRand *random, int64_t now_ms,
-             struct sas_member_news *updates, int max, bool *taken)
+             struct sas_member_update *updates, int max, bool *taken)
 {
     g_autofree int *changed = g_new(int, table->count);
     int changed_count = 0;
     for (int member_id = 0; member_id < table->count; member_id++) {
-        if (table->members[member_id].sends_left > 0 && !taken[member_id]) {
+        if (table->members[member_id].retransmits_left > 0 &&
+            !taken[member_id]) {
             changed[changed_count++] = member_id;
         }
     }
     int count = MIN(changed_count, max);
     shuffle_front(random, changed, changed_count, count);
     for (int i = 0; i < count; i++) {
-        table->members[changed[i]].sends_left--;
+        table->members[changed[i]].retransmits_left--;
         taken[changed[i]] = true;
         fill_update(table, changed[i], now_ms, &updates[i]);
     }
--- a/packages/core/tests/test_membership.c
+++ b/packages/core/tests/test_membership.c
@@ -33,10 +33,10 @@
 merge_update(int member_id, uint64_t incarnation, uint32_t heartbeat,
              int64_t age_ms, int64_t now_ms)
 {
-    struct sas_member_news update = {.seat = member_id,
-                                     .incarnation = incarnation,
-                                     .heartbeat = heartbeat,
-                                     .age_ms = age_ms};
+    struct sas_member_update update = {.member_id = member_id,
+                                       .incarnation = incarnation,
+                                       .heartbeat = heartbeat,
+                                       .age_ms = age_ms};
     return SasMembership_Merge(&table, &update, now_ms);
 }
 
@@ -56,9 +56,9 @@
     assert_state(1, START_MS, SAS_MEMBER_UNKNOWN);
     assert_int_equal(merge_update(1, 60, 5, 0, START_MS), SAS_CHANGE_MEMBER);
     assert_state(1, START_MS, SAS_MEMBER_LIVE);
-    assert_state(1, START_MS + times->suspect_ms, SAS_MEMBER_SUSPECT);
-    assert_state(1, START_MS + times->gone_ms, SAS_MEMBER_GONE);
-    assert_state(0, START_MS + times->gone_ms, SAS_MEMBER_LIVE);
+    assert_state(1, START_MS + times->suspect_ms, SAS_MEMBER_SUSPECTED);
+    assert_state(1, START_MS + times->dead_ms, SAS_MEMBER_DEAD);
+    assert_state(0, START_MS + times->dead_ms, SAS_MEMBER_LIVE);
     assert_state(MEMBERS, START_MS, SAS_MEMBER_UNKNOWN);
 }
 
@@ -70,13 +70,13 @@
 {
     (void)state;
     struct sas_membership other;
-    struct sas_member_news updates[MEMBERS];
+    struct sas_member_update updates[MEMBERS];
     int64_t now_ms = START_MS;
     SasMembership_Init(&other, MEMBERS, 2, 70, START_MS);
     merge_update(1, 60, 5, 0, START_MS);
     struct sas_membership *from = &table;
     struct sas_membership *to = &other;
-    while (now_ms < START_MS + table.times.gone_ms) {
+    while (now_ms < START_MS + table.times.dead_ms) {
         int count = SasMembership_FillDigest(from, random_numbers, now_ms,
                                              updates, MEMBERS);
         now_ms += 50;
@@ -87,7 +87,7 @@
         from = to;
         to = swap;
     }
-    assert_state(1, now_ms, SAS_MEMBER_GONE);
+    assert_state(1, now_ms, SAS_MEMBER_DEAD);
     SasMembership_Close(&other);
 }
 
@@ -95,8 +95,8 @@
 test_leaving_sticks_for_its_incarnation(void **state)
 {
     (void)state;
-    struct sas_member_news update = {
-        .seat = 1, .incarnation = 60, .heartbeat = 5, .leaving = true};
+    struct sas_member_update update = {
+        .member_id = 1, .incarnation = 60, .heartbeat = 5, .leaving = true};
     merge_update(1, 60, 4, 0, START_MS);
     assert_int_equal(SasMembership_Merge(&table, &update, START_MS),
                      SAS_CHANGE_MEMBER);
@@ -114,20 +114,20 @@
     (void)state;
     merge_update(1, 60, 5, 0, START_MS);
     SasMembership_NoteDirect(&table, 2, 70, START_MS);
-    assert_false(SasMembership_MayRetry(&table, 1));
-    assert_int_equal(SasMembership_NoteSilence(&table, 1, START_MS + 1), 0);
-    assert_true(SasMembership_MayRetry(&table, 1));
-    assert_int_equal(SasMembership_NoteSilence(&table, 1, START_MS + 2),
+    assert_false(SasMembership_ShouldRetry(&table, 1));
+    assert_int_equal(SasMembership_NoteTimeout(&table, 1, START_MS + 1), 0);
+    assert_true(SasMembership_ShouldRetry(&table, 1));
+    assert_int_equal(SasMembership_NoteTimeout(&table, 1, START_MS + 2),
                      SAS_CHANGE_MEMBER);
-    assert_state(1, START_MS + 2, SAS_MEMBER_SUSPECT);
-    assert_state(1, START_MS + 2 + table.times.refute_ms, SAS_MEMBER_GONE);
+    assert_state(1, START_MS + 2, SAS_MEMBER_SUSPECTED);
+    assert_state(1, START_MS + 2 + table.times.refute_ms, SAS_MEMBER_DEAD);
     merge_update(1, 60, 6, 0, START_MS + 3);
     assert_state(1, START_MS + 3, SAS_MEMBER_LIVE);
 
     struct sas_membership suspected;
     SasMembership_Init(&suspected, MEMBERS, 1, 60, START_MS);
-    struct sas_member_news update = {
-        .seat = 1, .incarnation = 60, .heartbeat = 5, .doubt = 8};
+    struct sas_member_update update = {
+        .member_id = 1, .incarnation = 60, .heartbeat = 5, .suspicion = 8};
     assert_int_equal(SasMembership_Merge(&suspected, &update, START_MS),
                      SAS_CHANGE_MEMBER);
     assert_true(suspected.members[1].heartbeat > 8);
@@ -147,11 +147,11 @@
     int64_t later_ms = START_MS + heartbeats * table.times.interval_ms;
     merge_update(1, 60, 5, 0, START_MS);
     SasMembership_NoteDirect(&table, 2, 70, later_ms);
-    SasMembership_NoteSilence(&table, 1, later_ms);
-    SasMembership_NoteSilence(&table, 1, later_ms);
+    SasMembership_NoteTimeout(&table, 1, later_ms);
+    SasMembership_NoteTimeout(&table, 1, later_ms);
     merge_update(1, 60, 5 + (uint32_t)heartbeats, table.times.interval_ms,
                  later_ms);
-    assert_state(1, later_ms, SAS_MEMBER_SUSPECT);
+    assert_state(1, later_ms, SAS_MEMBER_SUSPECTED);
     merge_update(1, 60, 6 + (uint32_t)heartbeats, 0, later_ms);
     assert_state(1, later_ms, SAS_MEMBER_LIVE);
 }
@@ -160,8 +160,10 @@
 test_bounded_suspicion_does_not_use_up_heartbeats(void **state)
 {
     (void)state;
-    struct sas_member_news update = {
-        .seat = 0, .incarnation = 50, .heartbeat = 1, .doubt = UINT32_MAX};
+    struct sas_member_update update = {.member_id = 0,
+                                       .incarnation = 50,
+                                       .heartbeat = 1,
+                                       .suspicion = UINT32_MAX};
     SasMembership_Merge(&table, &update, START_MS);
     assert_true(table.members[0].heartbeat < 1000000);
 }
@@ -170,10 +172,10 @@
 test_direct_message_clears_the_suspicion_of_others(void **state)
 {
     (void)state;
-    struct sas_member_news update = {
-        .seat = 1, .incarnation = 60, .heartbeat = 5, .doubt = 5};
+    struct sas_member_update update = {
+        .member_id = 1, .incarnation = 60, .heartbeat = 5, .suspicion = 5};
     SasMembership_Merge(&table, &update, START_MS);
-    assert_state(1, START_MS, SAS_MEMBER_SUSPECT);
+    assert_state(1, START_MS, SAS_MEMBER_SUSPECTED);
     SasMembership_NoteDirect(&table, 1, 60, START_MS + 1);
     assert_state(1, START_MS + 1, SAS_MEMBER_LIVE);
 }
@@ -186,14 +188,14 @@
     (void)state;
     int64_t later_ms = START_MS + table.times.partition_ms;
     merge_update(1, 60, 5, 0, START_MS);
-    assert_false(SasMembership_IsCutOff(&table, later_ms - 1));
-    assert_true(SasMembership_IsCutOff(&table, later_ms));
-    for (int i = 0; i < 2 * SasMembership_SILENCE_LIMIT; i++) {
-        assert_int_equal(SasMembership_NoteSilence(&table, 1, later_ms), 0);
+    assert_false(SasMembership_IsPartitioned(&table, later_ms - 1));
+    assert_true(SasMembership_IsPartitioned(&table, later_ms));
+    for (int i = 0; i < 2 * SasMembership_SUSPECT_TIMEOUTS; i++) {
+        assert_int_equal(SasMembership_NoteTimeout(&table, 1, later_ms), 0);
     }
-    assert_int_equal(table.members[1].doubt, 0);
+    assert_int_equal(table.members[1].suspicion, 0);
     SasMembership_NoteDirect(&table, 2, 70, later_ms);
-    assert_false(SasMembership_IsCutOff(&table, later_ms));
+    assert_false(SasMembership_IsPartitioned(&table, later_ms));
 }
 
 static void
@@ -201,9 +203,9 @@
 {
     (void)state;
     assert_int_equal(merge_update(0, 49, 1, 0, START_MS), 0);
-    assert_int_equal(table.replaced_by, 0);
+    assert_int_equal(table.newer_incarnation, 0);
     merge_update(0, 51, 1, 0, START_MS);
-    assert_int_equal(table.replaced_by, 51);
+    assert_int_equal(table.newer_incarnation, 51);
     assert_int_equal(table.members[0].incarnation, 50);
 }
 
@@ -211,12 +213,12 @@
 test_incarnation_is_raised_after_the_clock_went_back(void **state)
 {
     (void)state;
-    assert_int_equal(SasMembership_Renew(&table, START_MS), 0);
+    assert_int_equal(SasMembership_RaiseIncarnation(&table, START_MS), 0);
     merge_update(0, 51, 1, 0, START_MS);
-    assert_int_equal(SasMembership_Renew(&table, START_MS), 52);
+    assert_int_equal(SasMembership_RaiseIncarnation(&table, START_MS), 52);
     assert_int_equal(table.members[0].incarnation, 52);
     merge_update(0, 51, 9, 0, START_MS);
-    assert_int_equal(SasMembership_Renew(&table, START_MS), 0);
+    assert_int_equal(SasMembership_RaiseIncarnation(&table, START_MS), 0);
 }
 
 static void
@@ -225,10 +227,10 @@
     (void)state;
     int member_ids[MEMBERS];
     int dead_picks = 0;
-    int64_t now_ms = START_MS + table.times.gone_ms;
+    int64_t now_ms = START_MS + table.times.dead_ms;
     for (int member_id = 1; member_id < MEMBERS; member_id++) {
         merge_update(member_id, 60, 5,
-                     member_id == 8 ? table.times.gone_ms : 0, now_ms);
+                     member_id == 8 ? table.times.dead_ms : 0, now_ms);
     }
     for (int round = 0; round < 400; round++) {
         assert_int_equal(SasMembership_PickPeers(&table, random_numbers,
@@ -251,27 +253,27 @@
 {
     (void)state;
     struct sas_membership large;
-    struct sas_member_news updates[4];
+    struct sas_member_update updates[4];
     SasMembership_Init(&large, 200, 150, 50, START_MS);
     for (int member_id = 0; member_id < 200; member_id++) {
-        struct sas_member_news live = {
-            .seat = member_id, .incarnation = 60, .heartbeat = 1};
+        struct sas_member_update live = {
+            .member_id = member_id, .incarnation = 60, .heartbeat = 1};
         SasMembership_Merge(&large, &live, START_MS);
-        large.members[member_id].sends_left = 0;
+        large.members[member_id].retransmits_left = 0;
     }
-    struct sas_member_news change = {
-        .seat = 77, .incarnation = 60, .heartbeat = 1, .leaving = true};
+    struct sas_member_update change = {
+        .member_id = 77, .incarnation = 60, .heartbeat = 1, .leaving = true};
     SasMembership_Merge(&large, &change, START_MS);
-    int sends = large.members[77].sends_left;
+    int sends = large.members[77].retransmits_left;
     for (int i = 0; i < sends; i++) {
         assert_int_equal(SasMembership_FillDigest(&large, random_numbers,
                                                   START_MS, updates, 4),
                          4);
-        assert_int_equal(updates[0].seat, 150);
-        assert_int_equal(updates[1].seat, 77);
+        assert_int_equal(updates[0].member_id, 150);
+        assert_int_equal(updates[1].member_id, 77);
         assert_true(updates[1].leaving);
     }
-    assert_int_equal(large.members[77].sends_left, 0);
+    assert_int_equal(large.members[77].retransmits_left, 0);
     SasMembership_Close(&large);
 }
 
@@ -285,7 +287,7 @@
     assert_int_equal(SasMembership_PickPeers(&single, random_numbers, START_MS,
                                              &member_id, 1),
                      0);
-    assert_false(SasMembership_IsCutOff(&single, START_MS + 1000000));
+    assert_false(SasMembership_IsPartitioned(&single, START_MS + 1000000));
     SasMembership_Close(&single);
 }
 
--- a/packages/gateway/src/mesh.c
+++ b/packages/gateway/src/mesh.c
@@ -202,7 +202,7 @@
 SasMesh_Leave(struct sas_mesh *mesh)
 {
     SasMembership_SetLeaving(&mesh->table);
-    SasMembership_Beat(&mesh->table, SasMesh_Now(mesh));
+    SasMembership_IncrementHeartbeat(&mesh->table, SasMesh_Now(mesh));
     SasMesh_Broadcast(mesh);
 }
 
@@ -290,7 +290,8 @@
 SasMesh_FindGone(const struct sas_mesh *mesh, bool *down)
 {
     int regions = SasFleet_CountRegions(mesh->fleet);
-    bool partitioned = SasMembership_IsCutOff(&mesh->table, SasMesh_Now(mesh));
+    bool partitioned =
+        SasMembership_IsPartitioned(&mesh->table, SasMesh_Now(mesh));
     memset(down, 0, (size_t)regions * sizeof(*down));
     for (int member_id = 0; member_id < (int)mesh->vms->len && !partitioned;
          member_id++) {
--- a/packages/gateway/src/mesh_gossip.c
+++ b/packages/gateway/src/mesh_gossip.c
@@ -135,7 +135,7 @@
 static void
 note_timeout(struct sas_mesh *mesh, int member_id)
 {
-    if (SasMembership_NoteSilence(&mesh->table, member_id,
+    if (SasMembership_NoteTimeout(&mesh->table, member_id,
                                   SasMesh_Now(mesh)) != 0) {
         SasLog_Write(
             SasLog_INFO, "mesh.doubt",
@@ -144,7 +144,7 @@
             SasMembership_GetAge(&mesh->table, member_id, SasMesh_Now(mesh)));
         broadcast_member(mesh, member_id);
     }
-    else if (SasMembership_MayRetry(&mesh->table, member_id)) {
+    else if (SasMembership_ShouldRetry(&mesh->table, member_id)) {
         ping(mesh, member_id);
     }
 }
@@ -189,7 +189,7 @@
     struct sas_mesh *mesh = timer->data;
     int64_t now_ms = SasMesh_Now(mesh);
     note_freeze(mesh, now_ms);
-    SasMembership_Beat(&mesh->table, now_ms);
+    SasMembership_IncrementHeartbeat(&mesh->table, now_ms);
     int member_id = SasModel_NONE;
     if (SasMembership_PickPeers(&mesh->table, mesh->random, now_ms, &member_id,
                                 1) == 1) {
@@ -323,14 +323,14 @@
 
 static sas_mesh_news
 encode_update(const struct sas_mesh *mesh,
-              const struct sas_member_news *update)
+              const struct sas_member_update *update)
 {
     sas_mesh_news row = {
-        .name_hash = SasMesh_GetVm(mesh, update->seat)->name_hash,
+        .name_hash = SasMesh_GetVm(mesh, update->member_id)->name_hash,
         .incarnation = update->incarnation,
         .config_version = update->config_version,
         .heartbeat = update->heartbeat,
-        .doubt = update->doubt,
+        .doubt = update->suspicion,
         .age_ms = (u_int)update->age_ms,
         .leaving = update->leaving,
     };
@@ -341,7 +341,7 @@
 fill_updates(struct sas_mesh *mesh, sas_mesh_news *updates, int max,
              u_int *count)
 {
-    struct sas_member_news digest[SAS_MESH_MAX_NEWS];
+    struct sas_member_update digest[SAS_MESH_MAX_NEWS];
     int filled = SasMembership_FillDigest(&mesh->table, mesh->random,
                                           SasMesh_Now(mesh), digest, max);
     for (int i = 0; i < filled; i++) {
@@ -474,8 +474,9 @@
 static void
 broadcast_member(struct sas_mesh *mesh, int member_id)
 {
-    struct sas_member_news update;
-    SasMembership_GetNews(&mesh->table, member_id, SasMesh_Now(mesh), &update);
+    struct sas_member_update update;
+    SasMembership_GetUpdate(&mesh->table, member_id, SasMesh_Now(mesh),
+                            &update);
     sas_mesh_news row = encode_update(mesh, &update);
     sas_mesh_message message = {
         .news = {.news_len = 1, .news_val = &row},
@@ -512,7 +513,7 @@
 renew_own(struct sas_mesh *mesh)
 {
     uint64_t incarnation =
-        SasMembership_Renew(&mesh->table, SasMesh_Now(mesh));
+        SasMembership_RaiseIncarnation(&mesh->table, SasMesh_Now(mesh));
     if (incarnation == 0) {
         return;
     }
@@ -563,25 +564,26 @@
 apply_update(struct sas_mesh *mesh, const sas_mesh_news *row)
 {
     int64_t now_ms = SasMesh_Now(mesh);
-    struct sas_member_news update = {
-        .seat = SasMesh_FindMember(mesh, row->name_hash),
+    struct sas_member_update update = {
+        .member_id = SasMesh_FindMember(mesh, row->name_hash),
         .leaving = row->leaving,
         .incarnation = row->incarnation,
         .config_version = row->config_version,
         .heartbeat = row->heartbeat,
-        .doubt = row->doubt,
+        .suspicion = row->doubt,
         .age_ms = row->age_ms,
     };
-    if (update.seat == SasModel_NONE) {
+    if (update.member_id == SasModel_NONE) {
         return;
     }
-    if (update.seat != OWN_ID &&
-        now_ms - mesh->table.members[update.seat].direct_ms <
+    if (update.member_id != OWN_ID &&
+        now_ms - mesh->table.members[update.member_id].received_ms <
             RECENT_CONTACT_MS) {
-        update.doubt = 0;
+        update.suspicion = 0;
     }
     int changes = SasMembership_Merge(&mesh->table, &update, now_ms);
-    bool refuted = update.seat == OWN_ID && (changes & SAS_CHANGE_MEMBER) != 0;
+    bool refuted =
+        update.member_id == OWN_ID && (changes & SAS_CHANGE_MEMBER) != 0;
     if (refuted) {
         SasLog_Write(SasLog_INFO, "mesh.refute", "",
                      "another entry VM suspected this one");
--- a/packages/gateway/src/mesh_ranking.c
+++ b/packages/gateway/src/mesh_ranking.c
@@ -26,10 +26,10 @@
     enum sas_member_state state =
         SasMembership_GetState(&mesh->table, member_id, now_ms);
     bool reserved =
-        state == SAS_MEMBER_GONE && !mesh->table.members[member_id].leaving &&
+        state == SAS_MEMBER_DEAD && !mesh->table.members[member_id].leaving &&
         SasMembership_GetAge(&mesh->table, member_id, now_ms) < RESERVED_MS;
     return member_id == OWN_ID || state == SAS_MEMBER_LIVE ||
-           state == SAS_MEMBER_LEAVING || state == SAS_MEMBER_SUSPECT ||
+           state == SAS_MEMBER_LEAVING || state == SAS_MEMBER_SUSPECTED ||
            reserved;
 }
 
--- a/packages/node/src/peer_sync.c
+++ b/packages/node/src/peer_sync.c
@@ -353,8 +353,8 @@
     const struct sas_membership *table = SasPeer_GetMembership(sync->peer);
     struct sas_metrics *metrics = sync->options.counters->metrics;
     int64_t now = SasPeer_GetNow();
-    bool partitioned = SasMembership_IsCutOff(table, now);
-    if (table->replaced_by != 0 && !sync->replaced) {
+    bool partitioned = SasMembership_IsPartitioned(table, now);
+    if (table->newer_incarnation != 0 && !sync->replaced) {
         sync->replaced = true;
         sync->options.listener->on_replaced(sync->options.listener);
     }
--- a/packages/peer/include/sas/peer.h
+++ b/packages/peer/include/sas/peer.h
@@ -130,9 +130,9 @@
 /* Starts the task. The incarnation must be higher than that of every earlier
  * process of this member, for example the wall clock at the start. Peers that
  * know a higher one refuse this process, which then finds it in
- * SasPeer_GetMembership(peer)->replaced_by: the process was paused and has to
- * stop, or it has just started after the clock went back and may open again
- * with a higher incarnation. The process has to ignore SIGPIPE. After a
+ * SasPeer_GetMembership(peer)->newer_incarnation: the process was paused and
+ * has to stop, or it has just started after the clock went back and may open
+ * again with a higher incarnation. The process has to ignore SIGPIPE. After a
  * failure the loop has to run once more, which releases the handles. */
 int SasPeer_Open(struct sas_peer **peer, uv_loop_t *loop,
                  const struct sas_model *model, int own_id, const uint8_t *key,
--- a/packages/peer/src/connection.c
+++ b/packages/peer/src/connection.c
@@ -480,8 +480,8 @@
 static void
 note_newer_process(struct sas_peer *peer, uint64_t incarnation)
 {
-    struct sas_member_news update = {.seat = peer->own_id,
-                                     .incarnation = incarnation};
+    struct sas_member_update update = {.member_id = peer->own_id,
+                                       .incarnation = incarnation};
     SasMembership_Merge(&peer->membership, &update, SasPeer_GetNow());
 }
 
--- a/packages/peer/src/gossip.c
+++ b/packages/peer/src/gossip.c
@@ -65,7 +65,7 @@
                   SasPeer_AnswerFn *callback, void *context,
                   struct sas_error *error)
 {
-    struct sas_rpc_seat seats[SasMembership_DIGEST_SEATS];
+    struct sas_rpc_seat seats[SasMembership_DIGEST_MEMBERS];
     union sas_proto_body body;
     memset(&body, 0, sizeof(body));
     SasGossip_Fill(peer, &body.gossip, seats);
@@ -155,18 +155,18 @@
     gossip->seat = (u_int)peer->own_id;
     gossip->incarnation = peer->incarnation;
     gossip->state = self->leaving ? SAS_RPC_LEAVING : SAS_RPC_LIVE;
-    struct sas_member_news update[SasMembership_DIGEST_SEATS];
+    struct sas_member_update update[SasMembership_DIGEST_MEMBERS];
     int count = SasMembership_FillDigest(
         &peer->membership, peer->options.random, SasPeer_GetNow(), update,
-        SasMembership_DIGEST_SEATS);
+        SasMembership_DIGEST_MEMBERS);
     for (int i = 0; i < count; i++) {
         seats[i] = (struct sas_rpc_seat){
-            .seat = (u_int)update[i].seat,
+            .seat = (u_int)update[i].member_id,
             .state = update[i].leaving ? SAS_RPC_LEAVING : SAS_RPC_LIVE,
             .incarnation = update[i].incarnation,
             .config_version = update[i].config_version,
             .heartbeat = update[i].heartbeat,
-            .doubt = update[i].doubt,
+            .doubt = update[i].suspicion,
             .age_ms = (u_int)MIN(update[i].age_ms, (int64_t)UINT32_MAX),
         };
     }
@@ -213,8 +213,8 @@
         peer->handler->take_leaving(peer->handler, member_id, leaving);
     if (leaving->seat < (u_int)peer->model->vm_count &&
         leaving->seat != (u_int)peer->own_id) {
-        struct sas_member_news update = {
-            .seat = (int)leaving->seat,
+        struct sas_member_update update = {
+            .member_id = (int)leaving->seat,
             .leaving = true,
             .incarnation = leaving->incarnation,
         };
@@ -235,7 +235,7 @@
 {
     struct sas_peer *peer = timer->data;
     SasPeer_Count(peer, SAS_PEER_ROUNDS);
-    SasMembership_Beat(&peer->membership, SasPeer_GetNow());
+    SasMembership_IncrementHeartbeat(&peer->membership, SasPeer_GetNow());
     gossip_with_random_members(peer, peer->membership.times.fanout);
 }
 
@@ -286,11 +286,11 @@
 static void
 note_timeout(struct sas_peer *peer, int member_id)
 {
-    if (SasMembership_NoteSilence(&peer->membership, member_id,
+    if (SasMembership_NoteTimeout(&peer->membership, member_id,
                                   SasPeer_GetNow()) != 0) {
         SasPeer_NoteChange(peer);
     }
-    else if (SasMembership_MayRetry(&peer->membership, member_id)) {
+    else if (SasMembership_ShouldRetry(&peer->membership, member_id)) {
         start_gossip(peer, member_id);
     }
 }
@@ -318,13 +318,13 @@
         if (row->seat >= (u_int)peer->model->vm_count) {
             continue;
         }
-        struct sas_member_news update = {
-            .seat = (int)row->seat,
+        struct sas_member_update update = {
+            .member_id = (int)row->seat,
             .leaving = row->state == SAS_RPC_LEAVING,
             .incarnation = row->incarnation,
             .config_version = row->config_version,
             .heartbeat = row->heartbeat,
-            .doubt = row->doubt,
+            .suspicion = row->doubt,
             .age_ms = row->age_ms,
         };
         changes |= SasMembership_Merge(&peer->membership, &update, now_ms);
--- a/packages/peer/src/internal.h
+++ b/packages/peer/src/internal.h
@@ -139,7 +139,7 @@
  * starts an extra round for what is new. */
 void SasGossip_Apply(struct sas_peer *peer, int member_id,
                      const struct sas_rpc_gossip *gossip);
-/* The own gossip; seats holds SasMembership_DIGEST_SEATS rows. */
+/* The own gossip; seats holds SasMembership_DIGEST_MEMBERS rows. */
 void SasGossip_Fill(struct sas_peer *peer, struct sas_rpc_gossip *gossip,
                     struct sas_rpc_seat *seats);
 void SasGossip_ApplyQuarantines(struct sas_peer *peer, int member_id,
--- a/packages/peer/src/peer.c
+++ b/packages/peer/src/peer.c
@@ -260,7 +260,7 @@
         .status = SUCCESS,
     };
     close_oldest_connection(connection);
-    struct sas_rpc_seat seats[SasMembership_DIGEST_SEATS];
+    struct sas_rpc_seat seats[SasMembership_DIGEST_MEMBERS];
     bool decoded = false;
     if (message->procedure <= SAS_RPC_HELLO ||
         message->procedure > SAS_RPC_DISOWN) {
--- a/packages/peer/tests/test_peer.c
+++ b/packages/peer/tests/test_peer.c
@@ -383,14 +383,14 @@
 {
     return SasMembership_GetState(SasPeer_GetMembership(owners[0].peer),
                                   model.vm_count - 1,
-                                  SasPeer_GetNow()) == SAS_MEMBER_GONE;
+                                  SasPeer_GetNow()) == SAS_MEMBER_DEAD;
 }
 
 static bool
 last_knows_that_it_was_replaced(void)
 {
     return SasPeer_GetMembership(owners[model.vm_count - 1].peer)
-               ->replaced_by == 5000;
+               ->newer_incarnation == 5000;
 }
 
 /* A process dies and a new one starts for the same member. The others detect
--- a/tools/bench_gossip.c
+++ b/tools/bench_gossip.c
@@ -36,7 +36,7 @@
     int other;
     uint64_t version;
     int count;
-    struct sas_member_news *news;
+    struct sas_member_update *updates;
 };
 
 struct node {
@@ -118,9 +118,9 @@
 static size_t
 get_record_size(int count)
 {
-    static size_t sizes[SasMembership_DIGEST_SEATS + 1];
+    static size_t sizes[SasMembership_DIGEST_MEMBERS + 1];
     if (sizes[count] == 0) {
-        struct sas_rpc_seat seats[SasMembership_DIGEST_SEATS];
+        struct sas_rpc_seat seats[SasMembership_DIGEST_MEMBERS];
         struct sas_proto_session session;
         memset(seats, 0, sizeof(seats));
         memset(&session, 0, sizeof(session));
@@ -159,9 +159,11 @@
 {
     struct node *node = &nodes[from];
     struct event *event = schedule(delay_ms, kind, to, from);
-    event->news = g_new(struct sas_member_news, SasMembership_DIGEST_SEATS);
-    event->count = SasMembership_FillDigest(
-        &node->table, rng, now_ms, event->news, SasMembership_DIGEST_SEATS);
+    event->updates =
+        g_new(struct sas_member_update, SasMembership_DIGEST_MEMBERS);
+    event->count =
+        SasMembership_FillDigest(&node->table, rng, now_ms, event->updates,
+                                 SasMembership_DIGEST_MEMBERS);
     event->version = node->version;
     message_count++;
     byte_count += get_record_size(event->count);
@@ -214,7 +216,8 @@
     struct node *node = &nodes[event->node];
     int changes = 0;
     for (int i = 0; i < event->count; i++) {
-        changes |= SasMembership_Merge(&node->table, &event->news[i], now_ms);
+        changes |=
+            SasMembership_Merge(&node->table, &event->updates[i], now_ms);
     }
     SasMembership_NoteDirect(
         &node->table, event->other,
@@ -250,7 +253,7 @@
     }
     switch (event->kind) {
     case EVENT_ROUND:
-        SasMembership_Beat(&node->table, now_ms);
+        SasMembership_IncrementHeartbeat(&node->table, now_ms);
         exchange_with_some(event->node, node->table.times.fanout);
         schedule(node->table.times.interval_ms, EVENT_ROUND, event->node, 0);
         break;
@@ -269,10 +272,10 @@
         adopt(event->node, event->version);
         break;
     case EVENT_SILENCE:
-        if (SasMembership_NoteSilence(&node->table, event->other, now_ms)) {
+        if (SasMembership_NoteTimeout(&node->table, event->other, now_ms)) {
             note_change(event->node);
         }
-        else if (SasMembership_MayRetry(&node->table, event->other)) {
+        else if (SasMembership_ShouldRetry(&node->table, event->other)) {
             exchange(event->node, event->other);
         }
         break;
@@ -291,7 +294,7 @@
         now_ms = event->at_ms;
         g_sequence_remove(first);
         play_event(event);
-        g_free(event->news);
+        g_free(event->updates);
         g_free(event);
     }
     now_ms = end_ms;
@@ -314,10 +317,10 @@
         node->alive = true;
         node->adopted_ms = NEVER_MS;
         for (int seat = 0; seat < node_count; seat++) {
-            struct sas_member_news news = {
-                .seat = seat, .incarnation = 1000, .heartbeat = 1};
-            SasMembership_Merge(&node->table, &news, 0);
-            node->table.members[seat].sends_left = 0;
+            struct sas_member_update update = {
+                .member_id = seat, .incarnation = 1000, .heartbeat = 1};
+            SasMembership_Merge(&node->table, &update, 0);
+            node->table.members[seat].retransmits_left = 0;
         }
         int interval = (int)node->table.times.interval_ms;
         schedule(g_rand_int_range(rng, 0, interval), EVENT_ROUND, i, 0);
@@ -336,7 +339,7 @@
     for (GSequenceIter *at = g_sequence_get_begin_iter(queue);
          !g_sequence_iter_is_end(at); at = g_sequence_iter_next(at)) {
         struct event *event = g_sequence_get(at);
-        g_free(event->news);
+        g_free(event->updates);
         g_free(event);
     }
     g_sequence_free(queue);
@@ -410,7 +413,7 @@
             enum sas_member_state state =
                 SasMembership_GetState(&nodes[i].table, dead, now_ms);
             known += !nodes[dead].alive &&
-                     (state == SAS_MEMBER_GONE || state == least);
+                     (state == SAS_MEMBER_DEAD || state == least);
         }
     }
     return known;
@@ -430,10 +433,10 @@
     }
     message_count = 0;
     byte_count = 0;
-    while (count_known(SAS_MEMBER_GONE) < pairs &&
+    while (count_known(SAS_MEMBER_DEAD) < pairs &&
            now_ms - start_ms < 600000) {
         play_until(now_ms + 100);
-        int64_t known = count_known(SAS_MEMBER_SUSPECT);
+        int64_t known = count_known(SAS_MEMBER_SUSPECTED);
         int64_t passed_ms = now_ms - start_ms;
         half_ms = half_ms < 0 && known * 2 >= pairs ? passed_ms : half_ms;
         most_ms =
@@ -462,10 +465,10 @@
 static void
 report_cpu(void)
 {
-    struct sas_rpc_seat seats[SasMembership_DIGEST_SEATS];
+    struct sas_rpc_seat seats[SasMembership_DIGEST_MEMBERS];
     struct sas_proto_session session;
     struct sas_membership table;
-    int count = MIN(node_count, SasMembership_DIGEST_SEATS);
+    int count = MIN(node_count, SasMembership_DIGEST_MEMBERS);
     memset(seats, 0, sizeof(seats));
     memset(&session, 0, sizeof(session));
     SasMembership_Init(&table, node_count, 0, 1000, 0);
@@ -473,10 +476,10 @@
     size_t size = 0;
     double before = get_cpu_seconds();
     for (int i = 0; i < CPU_MESSAGES; i++) {
-        struct sas_member_news news[SasMembership_DIGEST_SEATS];
+        struct sas_member_update updates[SasMembership_DIGEST_MEMBERS];
         int picked[SasPeer_MAX_CALLS];
         SasMembership_PickPeers(&table, random, i, picked, 1);
-        SasMembership_FillDigest(&table, random, i, news, count);
+        SasMembership_FillDigest(&table, random, i, updates, count);
         struct sas_proto_message message = make_gossip(seats, count);
         g_autofree uint8_t *record =
             SasProto_Encode(get_key(), &session, &message, &size, NULL);
@@ -485,8 +488,8 @@
                       size - SasRecord_MARK_SIZE, &got, NULL);
         SasProto_Decode(&got, NULL);
         for (int seat = 0; seat < count; seat++) {
-            struct sas_member_news row = {
-                .seat = seat, .incarnation = 1, .heartbeat = (uint32_t)i};
+            struct sas_member_update row = {
+                .member_id = seat, .incarnation = 1, .heartbeat = (uint32_t)i};
             SasMembership_Merge(&table, &row, i);
         }
         SasProto_FreeBody(&got);
