--- a/packages/core/include/sas/lag.h
+++ b/packages/core/include/sas/lag.h
@@ -19,39 +19,40 @@
 
 enum sas_lag_state {
     SAS_LAG_NONE,
-    SAS_LAG_WAIT,  /* behind; the pending poll may still bring the change */
-    SAS_LAG_ASK,   /* poll the store anew, and other entry VMs */
-    SAS_LAG_UNSURE /* the rows are stale */
+    SAS_LAG_BEHIND, /* behind; the pending poll may still bring the change */
+    SAS_LAG_FETCH,  /* poll the store anew, and other entry VMs */
+    SAS_LAG_STALE   /* the rows are stale */
 };
 
 struct sas_lag {
     int64_t bound_ms; /* within which changes have to be in force here */
-    int64_t known;    /* all changes up to this one are applied here */
-    int64_t expected; /* a change reported by others, not applied; 0: none */
+    int64_t applied;  /* all changes up to this one are applied here */
+    int64_t missing;  /* a change reported by others, not applied; 0: none */
     int64_t since_ms; /* when it was reported */
-    int64_t latest;   /* the newest change that others reported */
+    int64_t newest;   /* the newest change that others reported */
     int64_t latest_ms;
 };
 
 void SasLag_Init(struct sas_lag *lag, int64_t bound_ms);
 
 /* Another entry VM reports that it has this change. */
-void SasLag_NoteExpected(struct sas_lag *lag, int64_t version, int64_t now_ms);
+void SasLag_NotePeerVersion(struct sas_lag *lag, int64_t version,
+                            int64_t now_ms);
 
 /* All changes up to this one are applied here. */
-void SasLag_NoteKnown(struct sas_lag *lag, int64_t version);
+void SasLag_NoteApplied(struct sas_lag *lag, int64_t version);
 
 /* The store has no change after this one, and all up to it are applied here:
  * later changes that were reported are no longer expected. */
-void SasLag_NoteNewest(struct sas_lag *lag, int64_t version);
+void SasLag_NoteStoreVersion(struct sas_lag *lag, int64_t version);
 
 enum sas_lag_state SasLag_GetState(const struct sas_lag *lag, int64_t now_ms);
 
 /* How long this VM has been behind; 0 if it is not. */
-int64_t SasLag_GetMs(const struct sas_lag *lag, int64_t now_ms);
+int64_t SasLag_GetBehindMs(const struct sas_lag *lag, int64_t now_ms);
 
 /* Time until the state is reached if no change arrives; 0: it is reached. */
-int64_t SasLag_GetWaitMs(const struct sas_lag *lag, enum sas_lag_state state,
-                         int64_t now_ms);
+int64_t SasLag_GetMsUntil(const struct sas_lag *lag, enum sas_lag_state state,
+                          int64_t now_ms);
 
 #endif
--- a/packages/core/src/lag.c
+++ b/packages/core/src/lag.c
@@ -14,11 +14,11 @@
 static void
 update_expected(struct sas_lag *lag)
 {
-    if (lag->known < lag->expected) {
+    if (lag->applied < lag->missing) {
         return;
     }
-    bool has_newer = lag->latest > lag->known;
-    lag->expected = has_newer ? lag->latest : 0;
+    bool has_newer = lag->newest > lag->applied;
+    lag->missing = has_newer ? lag->newest : 0;
     lag->since_ms = lag->latest_ms;
 }
 
@@ -30,63 +30,63 @@
 }
 
 void
-SasLag_NoteExpected(struct sas_lag *lag, int64_t version, int64_t now_ms)
+SasLag_NotePeerVersion(struct sas_lag *lag, int64_t version, int64_t now_ms)
 {
-    if (version <= lag->latest) {
+    if (version <= lag->newest) {
         return;
     }
-    lag->latest = version;
+    lag->newest = version;
     lag->latest_ms = now_ms;
     update_expected(lag);
 }
 
 void
-SasLag_NoteKnown(struct sas_lag *lag, int64_t version)
+SasLag_NoteApplied(struct sas_lag *lag, int64_t version)
 {
-    lag->known = MAX(lag->known, version);
+    lag->applied = MAX(lag->applied, version);
     update_expected(lag);
 }
 
 void
-SasLag_NoteNewest(struct sas_lag *lag, int64_t version)
+SasLag_NoteStoreVersion(struct sas_lag *lag, int64_t version)
 {
-    lag->latest = MIN(lag->latest, version);
-    lag->expected = MIN(lag->expected, version);
-    SasLag_NoteKnown(lag, version);
+    lag->newest = MIN(lag->newest, version);
+    lag->missing = MIN(lag->missing, version);
+    SasLag_NoteApplied(lag, version);
 }
 
 static int64_t
 get_limit(const struct sas_lag *lag, enum sas_lag_state state)
 {
-    double fraction = state == SAS_LAG_UNSURE ? STALE_FRACTION
-                      : state == SAS_LAG_ASK  ? POLL_FRACTION
-                                              : 0;
+    double fraction = state == SAS_LAG_STALE   ? STALE_FRACTION
+                      : state == SAS_LAG_FETCH ? POLL_FRACTION
+                                               : 0;
     return (int64_t)(fraction * (double)lag->bound_ms);
 }
 
 enum sas_lag_state
 SasLag_GetState(const struct sas_lag *lag, int64_t now_ms)
 {
-    if (lag->expected == 0) {
+    if (lag->missing == 0) {
         return SAS_LAG_NONE;
     }
-    int64_t behind_ms = SasLag_GetMs(lag, now_ms);
-    if (behind_ms >= get_limit(lag, SAS_LAG_UNSURE)) {
-        return SAS_LAG_UNSURE;
+    int64_t behind_ms = SasLag_GetBehindMs(lag, now_ms);
+    if (behind_ms >= get_limit(lag, SAS_LAG_STALE)) {
+        return SAS_LAG_STALE;
     }
-    return behind_ms >= get_limit(lag, SAS_LAG_ASK) ? SAS_LAG_ASK
-                                                    : SAS_LAG_WAIT;
+    return behind_ms >= get_limit(lag, SAS_LAG_FETCH) ? SAS_LAG_FETCH
+                                                      : SAS_LAG_BEHIND;
 }
 
 int64_t
-SasLag_GetMs(const struct sas_lag *lag, int64_t now_ms)
+SasLag_GetBehindMs(const struct sas_lag *lag, int64_t now_ms)
 {
-    return lag->expected == 0 ? 0 : now_ms - lag->since_ms;
+    return lag->missing == 0 ? 0 : now_ms - lag->since_ms;
 }
 
 int64_t
-SasLag_GetWaitMs(const struct sas_lag *lag, enum sas_lag_state state,
-                 int64_t now_ms)
+SasLag_GetMsUntil(const struct sas_lag *lag, enum sas_lag_state state,
+                  int64_t now_ms)
 {
-    return MAX(get_limit(lag, state) - SasLag_GetMs(lag, now_ms), 0);
+    return MAX(get_limit(lag, state) - SasLag_GetBehindMs(lag, now_ms), 0);
 }
--- a/packages/core/tests/test_lag.c
+++ b/packages/core/tests/test_lag.c
@@ -14,7 +14,7 @@
 {
     struct sas_lag lag;
     SasLag_Init(&lag, BOUND_MS);
-    SasLag_NoteKnown(&lag, applied);
+    SasLag_NoteApplied(&lag, applied);
     return lag;
 }
 
@@ -24,10 +24,10 @@
     (void)state;
     struct sas_lag lag = make_lag(12);
     assert_int_equal(SasLag_GetState(&lag, 0), SAS_LAG_NONE);
-    SasLag_NoteExpected(&lag, 12, 100);
-    SasLag_NoteExpected(&lag, 7, 100);
+    SasLag_NotePeerVersion(&lag, 12, 100);
+    SasLag_NotePeerVersion(&lag, 7, 100);
     assert_int_equal(SasLag_GetState(&lag, 90000), SAS_LAG_NONE);
-    assert_int_equal(SasLag_GetMs(&lag, 90000), 0);
+    assert_int_equal(SasLag_GetBehindMs(&lag, 90000), 0);
 }
 
 /* Guards against an entry VM that serves an old configuration while its long
@@ -37,13 +37,14 @@
 {
     (void)state;
     struct sas_lag lag = make_lag(8);
-    SasLag_NoteExpected(&lag, 12, 1000);
-    assert_int_equal(SasLag_GetState(&lag, 1000), SAS_LAG_WAIT);
-    assert_int_equal(SasLag_GetWaitMs(&lag, SAS_LAG_ASK, 1200), POLL_MS - 200);
-    assert_int_equal(SasLag_GetState(&lag, 1000 + POLL_MS), SAS_LAG_ASK);
-    assert_int_equal(SasLag_GetState(&lag, 1000 + STALE_MS), SAS_LAG_UNSURE);
-    assert_int_equal(SasLag_GetWaitMs(&lag, SAS_LAG_UNSURE, 5000), 0);
-    SasLag_NoteKnown(&lag, 12);
+    SasLag_NotePeerVersion(&lag, 12, 1000);
+    assert_int_equal(SasLag_GetState(&lag, 1000), SAS_LAG_BEHIND);
+    assert_int_equal(SasLag_GetMsUntil(&lag, SAS_LAG_FETCH, 1200),
+                     POLL_MS - 200);
+    assert_int_equal(SasLag_GetState(&lag, 1000 + POLL_MS), SAS_LAG_FETCH);
+    assert_int_equal(SasLag_GetState(&lag, 1000 + STALE_MS), SAS_LAG_STALE);
+    assert_int_equal(SasLag_GetMsUntil(&lag, SAS_LAG_STALE, 5000), 0);
+    SasLag_NoteApplied(&lag, 12);
     assert_int_equal(SasLag_GetState(&lag, 5000), SAS_LAG_NONE);
 }
 
@@ -55,11 +56,11 @@
     (void)state;
     struct sas_lag lag = make_lag(8);
     for (int64_t i = 0; i < 10; i++) {
-        SasLag_NoteExpected(&lag, 12 + i, 1000 + i * 100);
-        SasLag_NoteExpected(&lag, 12, 1000 + i * 100);
+        SasLag_NotePeerVersion(&lag, 12 + i, 1000 + i * 100);
+        SasLag_NotePeerVersion(&lag, 12, 1000 + i * 100);
     }
-    assert_int_equal(SasLag_GetMs(&lag, 1900), 900);
-    assert_int_equal(SasLag_GetState(&lag, 1900), SAS_LAG_UNSURE);
+    assert_int_equal(SasLag_GetBehindMs(&lag, 1900), 900);
+    assert_int_equal(SasLag_GetState(&lag, 1900), SAS_LAG_STALE);
 }
 
 /* Changes arrive all the time and are applied after 300 ms: the entry VM must
@@ -70,11 +71,11 @@
     (void)state;
     struct sas_lag lag = make_lag(0);
     for (int64_t now_ms = 0; now_ms < 60000; now_ms += 100) {
-        SasLag_NoteExpected(&lag, now_ms + 1, now_ms);
+        SasLag_NotePeerVersion(&lag, now_ms + 1, now_ms);
         if (now_ms >= 300) {
-            SasLag_NoteKnown(&lag, now_ms + 1 - 300);
+            SasLag_NoteApplied(&lag, now_ms + 1 - 300);
         }
-        assert_true(SasLag_GetState(&lag, now_ms) < SAS_LAG_ASK);
+        assert_true(SasLag_GetState(&lag, now_ms) < SAS_LAG_FETCH);
     }
 }
 
@@ -85,12 +86,12 @@
 {
     (void)state;
     struct sas_lag lag = make_lag(8);
-    SasLag_NoteExpected(&lag, INT64_MAX, 0);
-    assert_int_equal(SasLag_GetState(&lag, 5000), SAS_LAG_UNSURE);
-    SasLag_NoteNewest(&lag, 9);
+    SasLag_NotePeerVersion(&lag, INT64_MAX, 0);
+    assert_int_equal(SasLag_GetState(&lag, 5000), SAS_LAG_STALE);
+    SasLag_NoteStoreVersion(&lag, 9);
     assert_int_equal(SasLag_GetState(&lag, 5000), SAS_LAG_NONE);
-    SasLag_NoteExpected(&lag, 10, 6000);
-    assert_int_equal(SasLag_GetState(&lag, 6000), SAS_LAG_WAIT);
+    SasLag_NotePeerVersion(&lag, 10, 6000);
+    assert_int_equal(SasLag_GetState(&lag, 6000), SAS_LAG_BEHIND);
 }
 
 int
