--- a/packages/core/include/sas/quarantine.h
+++ b/packages/core/include/sas/quarantine.h
@@ -10,8 +10,8 @@
  * nodes that lost connections in one crash count it once. Connections that
  * were lost for another reason must not count: don't report one to a server
  * that is leaving or that this node cancelled, and dismiss the crash
- * (SasQuarantine_Void) when the same incarnation answers a probe that was sent
- * after the loss.
+ * (SasQuarantine_Dismiss) when the same incarnation answers a probe that was
+ * sent after the loss.
  *
  * Entries are merged between nodes: crashes by union, flags by "or", times by
  * the later one. The merge is commutative, associative and idempotent, except
@@ -26,7 +26,7 @@
 
 #define SasQuarantine_MAX_ENTRIES 256
 #define SasQuarantine_MAX_CRASHES 8     /* of one request */
-#define SasQuarantine_MAX_VOIDED 64     /* dismissed crashes that are kept */
+#define SasQuarantine_MAX_DISMISSED 64  /* dismissed crashes that are kept */
 #define SasQuarantine_SUSPECT_MS 600000 /* since the last crash or run */
 #define SasQuarantine_LIFE_MS 3600000   /* since the last refused attempt */
 #define SasQuarantine_RETRY_AFTER_S 1   /* during an isolated run elsewhere */
@@ -36,17 +36,17 @@
     uint64_t low;
 };
 
-enum sas_quarantine_verdict {
+enum sas_quarantine_decision {
     SAS_QUARANTINE_ALLOW,
-    SAS_QUARANTINE_ALONE, /* only an isolated run */
-    SAS_QUARANTINE_WAIT,  /* refuse: an isolated run is pending */
-    SAS_QUARANTINE_REFUSE /* refuse: quarantined */
+    SAS_QUARANTINE_ISOLATE, /* only an isolated run */
+    SAS_QUARANTINE_WAIT,    /* refuse: an isolated run is pending */
+    SAS_QUARANTINE_REFUSE   /* refuse: quarantined */
 };
 
 struct sas_crash {
-    uint64_t id;  /* 0: none */
-    bool alone;   /* isolated: nothing else ran there, of any node */
-    bool cleared; /* dismissed, or the request isn't the cause */
+    uint64_t id;   /* 0: none */
+    bool isolated; /* isolated: nothing else ran there, of any node */
+    bool cleared;  /* dismissed, or the request isn't the cause */
 };
 
 /* In a table, times are absolute; as sent between nodes they are the remaining
@@ -55,29 +55,29 @@
     struct sas_fingerprint fingerprint;
     struct sas_crash crashes[SasQuarantine_MAX_CRASHES];
     int crash_count;
-    int64_t left_ms;    /* end of the entry's life */
-    int64_t trial_ms;   /* end of the isolated run */
-    int64_t crashed_at; /* last crash */
+    int64_t left_ms;     /* end of the entry's life */
+    int64_t isolated_ms; /* end of the isolated run */
+    int64_t crashed_at;  /* last crash */
 };
 
 struct sas_quarantine {
     struct sas_quarantine_entry entries[SasQuarantine_MAX_ENTRIES];
     int count;
-    uint64_t voided[SasQuarantine_MAX_VOIDED];
-    int next_voided;
+    uint64_t dismissed[SasQuarantine_MAX_DISMISSED];
+    int next_dismissed;
 };
 
 /* Identifiers: hashes of a request and of a crash. */
 
-struct sas_fingerprint SasQuarantine_GetFingerprint(const char *method,
-                                                    const char *target,
-                                                    const void *body,
-                                                    size_t size);
+struct sas_fingerprint SasQuarantine_HashRequest(const char *method,
+                                                 const char *target,
+                                                 const void *body,
+                                                 size_t size);
 
 /* resets: how often this node dismissed a crash of that incarnation, so that a
  * later crash that this node sees has another id than the dismissed ones. */
-uint64_t SasQuarantine_GetCrash(const char *backend, const char *incarnation,
-                                int resets);
+uint64_t SasQuarantine_HashCrash(const char *backend, const char *incarnation,
+                                 int resets);
 
 /* Reports. */
 
@@ -95,14 +95,14 @@
                          struct sas_fingerprint fingerprint, int64_t now_ms);
 
 /* Dismisses the crash: the connection was lost for another reason. */
-void SasQuarantine_Void(struct sas_quarantine *q, uint64_t crash,
-                        int64_t now_ms);
+void SasQuarantine_Dismiss(struct sas_quarantine *q, uint64_t crash,
+                           int64_t now_ms);
 
 /* Decisions. */
 
 /* retry_after_s: for Retry-After; 0 if the request may run. Each refusal of a
  * quarantined request renews its SasQuarantine_LIFE_MS. */
-enum sas_quarantine_verdict
+enum sas_quarantine_decision
 SasQuarantine_Check(struct sas_quarantine *q,
                     struct sas_fingerprint fingerprint, int64_t now_ms,
                     int *retry_after_s);
@@ -120,14 +120,14 @@
 
 /* Clears the request even if it is quarantined: for callers that know that it
  * can't be the cause, as it has completed. */
-void SasQuarantine_Release(struct sas_quarantine *q,
-                           struct sas_fingerprint fingerprint, int64_t now_ms);
+void SasQuarantine_Trust(struct sas_quarantine *q,
+                         struct sas_fingerprint fingerprint, int64_t now_ms);
 
 /* Before an isolated run that ends within lasts_ms. False if one is pending or
  * the request is quarantined. */
-bool SasQuarantine_BeginTrial(struct sas_quarantine *q,
-                              struct sas_fingerprint fingerprint,
-                              int64_t lasts_ms, int64_t now_ms);
+bool SasQuarantine_BeginIsolatedRun(struct sas_quarantine *q,
+                                    struct sas_fingerprint fingerprint,
+                                    int64_t lasts_ms, int64_t now_ms);
 
 /* Exchange with other nodes: Export returns all entries, Merge applies one.
  *
--- a/packages/core/src/quarantine.c
+++ b/packages/core/src/quarantine.c
@@ -21,8 +21,8 @@
 static int get_severity(const struct sas_quarantine_entry *entry);
 
 struct sas_fingerprint
-SasQuarantine_GetFingerprint(const char *method, const char *target,
-                             const void *body, size_t size)
+SasQuarantine_HashRequest(const char *method, const char *target,
+                          const void *body, size_t size)
 {
     XXH128_hash_t parts[3] = {
         XXH3_128bits(method, strlen(method)),
@@ -34,8 +34,8 @@
 }
 
 uint64_t
-SasQuarantine_GetCrash(const char *backend, const char *incarnation,
-                       int resets)
+SasQuarantine_HashCrash(const char *backend, const char *incarnation,
+                        int resets)
 {
     uint64_t seed = XXH3_64bits(backend, strlen(backend));
     uint64_t id = XXH3_64bits_withSeed(incarnation, strlen(incarnation), seed);
@@ -56,7 +56,7 @@
 {
     struct sas_quarantine_entry *entry = add_entry(q, fingerprint, now_ms);
     int known = count_uncleared(entry);
-    add_crash(q, entry, (struct sas_crash){.id = crash, .alone = isolated});
+    add_crash(q, entry, (struct sas_crash){.id = crash, .isolated = isolated});
     if (count_uncleared(entry) > known) {
         entry->crashed_at = now_ms;
     }
@@ -81,13 +81,14 @@
 }
 
 void
-SasQuarantine_Void(struct sas_quarantine *q, uint64_t crash, int64_t now_ms)
+SasQuarantine_Dismiss(struct sas_quarantine *q, uint64_t crash, int64_t now_ms)
 {
     drop_expired(q, now_ms);
     /* Kept, because a peer may report that crash later. */
     if (!is_dismissed(q, crash)) {
-        q->voided[q->next_voided] = crash;
-        q->next_voided = (q->next_voided + 1) % SasQuarantine_MAX_VOIDED;
+        q->dismissed[q->next_dismissed] = crash;
+        q->next_dismissed =
+            (q->next_dismissed + 1) % SasQuarantine_MAX_DISMISSED;
     }
     for (int i = 0; i < q->count; i++) {
         for (int j = 0; j < q->entries[i].crash_count; j++) {
@@ -97,7 +98,7 @@
     }
 }
 
-enum sas_quarantine_verdict
+enum sas_quarantine_decision
 SasQuarantine_Check(struct sas_quarantine *q,
                     struct sas_fingerprint fingerprint, int64_t now_ms,
                     int *retry_after_s)
@@ -112,11 +113,11 @@
         *retry_after_s = (int)((entry->left_ms - now_ms + 999) / 1000);
         return SAS_QUARANTINE_REFUSE;
     }
-    if (entry->trial_ms > now_ms) {
+    if (entry->isolated_ms > now_ms) {
         *retry_after_s = SasQuarantine_RETRY_AFTER_S;
         return SAS_QUARANTINE_WAIT;
     }
-    return SAS_QUARANTINE_ALONE;
+    return SAS_QUARANTINE_ISOLATE;
 }
 
 int
@@ -138,8 +139,8 @@
 }
 
 void
-SasQuarantine_Release(struct sas_quarantine *q,
-                      struct sas_fingerprint fingerprint, int64_t now_ms)
+SasQuarantine_Trust(struct sas_quarantine *q,
+                    struct sas_fingerprint fingerprint, int64_t now_ms)
 {
     struct sas_quarantine_entry *entry = find_entry(q, fingerprint, now_ms);
     for (int i = 0; entry != NULL && i < entry->crash_count; i++) {
@@ -148,9 +149,9 @@
 }
 
 bool
-SasQuarantine_BeginTrial(struct sas_quarantine *q,
-                         struct sas_fingerprint fingerprint, int64_t lasts_ms,
-                         int64_t now_ms)
+SasQuarantine_BeginIsolatedRun(struct sas_quarantine *q,
+                               struct sas_fingerprint fingerprint,
+                               int64_t lasts_ms, int64_t now_ms)
 {
     struct sas_quarantine_entry *entry = find_entry(q, fingerprint, now_ms);
     if (entry == NULL) {
@@ -158,10 +159,10 @@
     }
     /* Two isolated runs at a time would crash two backend servers where one
      * crash shows as much. */
-    if (entry->trial_ms > now_ms || is_quarantined(entry)) {
+    if (entry->isolated_ms > now_ms || is_quarantined(entry)) {
         return false;
     }
-    entry->trial_ms = now_ms + lasts_ms;
+    entry->isolated_ms = now_ms + lasts_ms;
     entry->left_ms = MAX(entry->left_ms, now_ms + SasQuarantine_SUSPECT_MS);
     return true;
 }
@@ -178,7 +179,7 @@
     }
     *entry = q->entries[index];
     entry->left_ms = MAX(entry->left_ms - now_ms, 0);
-    entry->trial_ms = MAX(entry->trial_ms - now_ms, 0);
+    entry->isolated_ms = MAX(entry->isolated_ms - now_ms, 0);
     entry->crashed_at = now_ms - entry->crashed_at;
     return true;
 }
@@ -189,7 +190,7 @@
 {
     uint64_t words[] = {entry->fingerprint.high, entry->fingerprint.low,
                         crash->id,
-                        (uint64_t)crash->alone << 1 | crash->cleared};
+                        (uint64_t)crash->isolated << 1 | crash->cleared};
     return XXH3_64bits(words, sizeof(words));
 }
 
@@ -216,7 +217,8 @@
 {
     int count = CLAMP(entry->crash_count, 0, SasQuarantine_MAX_CRASHES);
     int64_t left_ms = CLAMP(entry->left_ms, 0, SasQuarantine_LIFE_MS);
-    int64_t isolated_ms = CLAMP(entry->trial_ms, 0, SasQuarantine_SUSPECT_MS);
+    int64_t isolated_ms =
+        CLAMP(entry->isolated_ms, 0, SasQuarantine_SUSPECT_MS);
     if (count == 0 || left_ms == 0) {
         return;
     }
@@ -228,7 +230,7 @@
         }
     }
     own->left_ms = MAX(own->left_ms, now_ms + left_ms);
-    own->trial_ms = MAX(own->trial_ms, now_ms + isolated_ms);
+    own->isolated_ms = MAX(own->isolated_ms, now_ms + isolated_ms);
     own->crashed_at = MAX(own->crashed_at, now_ms - MAX(entry->crashed_at, 0));
 }
 
@@ -303,7 +305,7 @@
     crash.cleared = crash.cleared || is_dismissed(q, crash.id);
     for (int i = 0; i < entry->crash_count; i++) {
         if (entry->crashes[i].id == crash.id) {
-            crash.alone = crash.alone || entry->crashes[i].alone;
+            crash.isolated = crash.isolated || entry->crashes[i].isolated;
             crash.cleared = crash.cleared || entry->crashes[i].cleared;
         }
         else {
@@ -326,8 +328,8 @@
 static bool
 is_dismissed(const struct sas_quarantine *q, uint64_t crash)
 {
-    for (int i = 0; i < SasQuarantine_MAX_VOIDED; i++) {
-        if (q->voided[i] == crash) {
+    for (int i = 0; i < SasQuarantine_MAX_DISMISSED; i++) {
+        if (q->dismissed[i] == crash) {
             return true;
         }
     }
@@ -337,7 +339,7 @@
 static int
 get_crash_weight(const struct sas_crash *crash)
 {
-    return crash->cleared ? 0 : 1 + crash->alone;
+    return crash->cleared ? 0 : 1 + crash->isolated;
 }
 
 static int
@@ -359,7 +361,7 @@
     bool isolated = false;
     for (int i = 0; i < entry->crash_count; i++) {
         isolated = isolated ||
-                   (entry->crashes[i].alone && !entry->crashes[i].cleared);
+                   (entry->crashes[i].isolated && !entry->crashes[i].cleared);
     }
     return isolated && count_uncleared(entry) >= 2;
 }
--- a/packages/core/tests/budget_shim.c
+++ b/packages/core/tests/budget_shim.c
@@ -28,13 +28,13 @@
 char *SasShim_EncodeClaim(const struct sas_claim *c);
 struct sas_quarantine *SasShim_NewQuarantine(void);
 void SasShim_Suspect(struct sas_quarantine *q, uint64_t fingerprint,
-                     uint64_t crash, bool alone, int64_t now_ms);
+                     uint64_t crash, bool isolated, int64_t now_ms);
 void SasShim_Clear(struct sas_quarantine *q, uint64_t fingerprint,
                    int64_t now_ms);
 int SasShim_Check(struct sas_quarantine *q, uint64_t fingerprint,
                   int64_t now_ms);
-bool SasShim_BeginTrial(struct sas_quarantine *q, uint64_t fingerprint,
-                        int64_t lasts_ms, int64_t now_ms);
+bool SasShim_BeginIsolatedRun(struct sas_quarantine *q, uint64_t fingerprint,
+                              int64_t lasts_ms, int64_t now_ms);
 void SasShim_MergeAll(struct sas_quarantine *to, struct sas_quarantine *from,
                       int64_t now_ms);
 char *SasShim_PrintQuarantine(struct sas_quarantine *q, int64_t now_ms);
@@ -185,10 +185,10 @@
 
 void
 SasShim_Suspect(struct sas_quarantine *q, uint64_t fingerprint, uint64_t crash,
-                bool alone, int64_t now_ms)
+                bool isolated, int64_t now_ms)
 {
     struct sas_fingerprint full = {0, fingerprint};
-    SasQuarantine_Suspect(q, full, crash, alone, now_ms);
+    SasQuarantine_Suspect(q, full, crash, isolated, now_ms);
 }
 
 void
@@ -207,11 +207,11 @@
 }
 
 bool
-SasShim_BeginTrial(struct sas_quarantine *q, uint64_t fingerprint,
-                   int64_t lasts_ms, int64_t now_ms)
+SasShim_BeginIsolatedRun(struct sas_quarantine *q, uint64_t fingerprint,
+                         int64_t lasts_ms, int64_t now_ms)
 {
     struct sas_fingerprint full = {0, fingerprint};
-    return SasQuarantine_BeginTrial(q, full, lasts_ms, now_ms);
+    return SasQuarantine_BeginIsolatedRun(q, full, lasts_ms, now_ms);
 }
 
 void
@@ -233,10 +233,10 @@
     GString *text = g_string_new("");
     for (int i = 0; SasQuarantine_Export(q, i, now_ms, &entry); i++) {
         g_string_append_printf(text, "%d %d %d", (int)entry.fingerprint.low,
-                               (int)entry.left_ms, (int)entry.trial_ms);
+                               (int)entry.left_ms, (int)entry.isolated_ms);
         for (int j = 0; j < entry.crash_count; j++) {
             g_string_append_printf(text, " %d%c%c", (int)entry.crashes[j].id,
-                                   entry.crashes[j].alone ? 'a' : '-',
+                                   entry.crashes[j].isolated ? 'a' : '-',
                                    entry.crashes[j].cleared ? 'c' : '-');
         }
         g_string_append_c(text, '\n');
--- a/packages/core/tests/test_quarantine.c
+++ b/packages/core/tests/test_quarantine.c
@@ -8,7 +8,7 @@
 
 static struct sas_quarantine q;
 
-static enum sas_quarantine_verdict
+static enum sas_quarantine_decision
 check(struct sas_fingerprint fingerprint, int64_t now_ms)
 {
     int retry_after_s;
@@ -19,17 +19,14 @@
 test_identifiers_differ(void **state)
 {
     (void)state;
-    struct sas_fingerprint a =
-        SasQuarantine_GetFingerprint("GET", "/a", NULL, 0);
-    struct sas_fingerprint b =
-        SasQuarantine_GetFingerprint("GET", "/b", NULL, 0);
-    struct sas_fingerprint c =
-        SasQuarantine_GetFingerprint("GET", "/a", "x", 1);
+    struct sas_fingerprint a = SasQuarantine_HashRequest("GET", "/a", NULL, 0);
+    struct sas_fingerprint b = SasQuarantine_HashRequest("GET", "/b", NULL, 0);
+    struct sas_fingerprint c = SasQuarantine_HashRequest("GET", "/a", "x", 1);
     assert_true(a.low != b.low && a.low != c.low && b.low != c.low);
-    assert_true(SasQuarantine_GetCrash("d1", "i1", 0) !=
-                SasQuarantine_GetCrash("d1", "i2", 0));
-    assert_true(SasQuarantine_GetCrash("d1", "i1", 0) !=
-                SasQuarantine_GetCrash("d1", "i1", 1));
+    assert_true(SasQuarantine_HashCrash("d1", "i1", 0) !=
+                SasQuarantine_HashCrash("d1", "i2", 0));
+    assert_true(SasQuarantine_HashCrash("d1", "i1", 0) !=
+                SasQuarantine_HashCrash("d1", "i1", 1));
 }
 
 /* A popular request ran on two servers that crashed for other reasons, on the
@@ -45,7 +42,7 @@
     SasQuarantine_Suspect(&q, popular, 101, true, 0);
     SasQuarantine_Clear(&q, popular, 1);
     assert_int_equal(check(popular, 1), SAS_QUARANTINE_REFUSE);
-    SasQuarantine_Release(&q, popular, 2);
+    SasQuarantine_Trust(&q, popular, 2);
     assert_int_equal(check(popular, 2), SAS_QUARANTINE_ALLOW);
     assert_int_equal(SasQuarantine_CountCrashes(&q, popular, 2), 0);
 }
@@ -64,10 +61,10 @@
     SasQuarantine_Suspect(&q, poison, 100, false, 0);
     SasQuarantine_Suspect(&q, harmless, 100, false, 0);
     SasQuarantine_Suspect(&q, poison, 100, false, 0);
-    assert_int_equal(check(poison, 1), SAS_QUARANTINE_ALONE);
-    assert_true(SasQuarantine_BeginTrial(&q, poison, 5000, 1));
+    assert_int_equal(check(poison, 1), SAS_QUARANTINE_ISOLATE);
+    assert_true(SasQuarantine_BeginIsolatedRun(&q, poison, 5000, 1));
     assert_int_equal(check(poison, 2), SAS_QUARANTINE_WAIT);
-    assert_false(SasQuarantine_BeginTrial(&q, poison, 5000, 2));
+    assert_false(SasQuarantine_BeginIsolatedRun(&q, poison, 5000, 2));
     SasQuarantine_Suspect(&q, poison, 101, true, 10);
     assert_int_equal(SasQuarantine_Check(&q, poison, 11, &retry_after_s),
                      SAS_QUARANTINE_REFUSE);
@@ -96,14 +93,14 @@
     SasQuarantine_Suspect(&q, harmless, 201, true, 0);
     assert_int_equal(check(harmless, 1), SAS_QUARANTINE_REFUSE);
     assert_true(SasQuarantine_Export(&q, 0, 1, &late_report));
-    SasQuarantine_Void(&q, 200, 2);
-    SasQuarantine_Void(&q, 201, 2);
+    SasQuarantine_Dismiss(&q, 200, 2);
+    SasQuarantine_Dismiss(&q, 201, 2);
     assert_int_equal(check(harmless, 3), SAS_QUARANTINE_ALLOW);
     SasQuarantine_Merge(&q, &late_report, 4);
     assert_int_equal(check(harmless, 5), SAS_QUARANTINE_ALLOW);
     SasQuarantine_Init(&q);
-    SasQuarantine_Void(&q, 200, 2);
-    SasQuarantine_Void(&q, 201, 2);
+    SasQuarantine_Dismiss(&q, 200, 2);
+    SasQuarantine_Dismiss(&q, 201, 2);
     SasQuarantine_Merge(&q, &late_report, 4);
     assert_int_equal(check(harmless, 5), SAS_QUARANTINE_ALLOW);
 }
--- a/packages/gateway/src/mesh.h
+++ b/packages/gateway/src/mesh.h
@@ -46,7 +46,7 @@
  * has completed since. */
 struct sas_mesh_poison_update {
     struct sas_fingerprint fingerprint;
-    uint64_t crash; /* of SasQuarantine_GetCrash; ignored if completed */
+    uint64_t crash; /* of SasQuarantine_HashCrash; ignored if completed */
     bool isolated;  /* no other request was known to run there */
     bool completed;
 };
--- a/packages/gateway/src/mesh_gossip.c
+++ b/packages/gateway/src/mesh_gossip.c
@@ -308,7 +308,7 @@
         records[j].high = entry->fingerprint.high;
         records[j].low = entry->fingerprint.low;
         records[j].crash = entry->crashes[j].id;
-        records[j].alone = entry->crashes[j].alone;
+        records[j].alone = entry->crashes[j].isolated;
         records[j].cleared = entry->crashes[j].cleared;
         records[j].age_ms = (u_int)CLAMP(entry->crashed_at, 0, G_MAXINT32);
     }
@@ -632,7 +632,7 @@
     };
     for (int i = 0; i < count; i++) {
         entry.crashes[i].id = rows[i].crash;
-        entry.crashes[i].alone = rows[i].alone;
+        entry.crashes[i].isolated = rows[i].alone;
         entry.crashes[i].cleared = rows[i].cleared;
     }
     mesh->listener->on_record(mesh->listener, &entry);
--- a/packages/gateway/src/poison_requests.c
+++ b/packages/gateway/src/poison_requests.c
@@ -109,7 +109,7 @@
                                       get_now(poison));
 }
 
-enum sas_quarantine_verdict
+enum sas_quarantine_decision
 SasPoisonRequests_Check(struct sas_poison_requests *poison,
                         struct sas_fingerprint fingerprint)
 {
@@ -127,9 +127,9 @@
                             &retry_after_s) == SAS_QUARANTINE_REFUSE;
     if (refusable) {
         return age_ms < REFUSE_MS ? SAS_QUARANTINE_REFUSE
-                                  : SAS_QUARANTINE_ALONE;
+                                  : SAS_QUARANTINE_ISOLATE;
     }
-    return age_ms < ISOLATE_MS ? SAS_QUARANTINE_ALONE : SAS_QUARANTINE_ALLOW;
+    return age_ms < ISOLATE_MS ? SAS_QUARANTINE_ISOLATE : SAS_QUARANTINE_ALLOW;
 }
 
 /* Reports to other entry VMs. */
@@ -166,7 +166,7 @@
         }
         rows[count].fingerprint = entry->fingerprint;
         rows[count].crash = entry->crashes[i].id;
-        rows[count].isolated = entry->crashes[i].alone;
+        rows[count].isolated = entry->crashes[i].isolated;
         rows[count++].completed = false;
     }
     return count;
@@ -235,11 +235,10 @@
 {
     int64_t now_ms = get_now(poison);
     int before = count_crashes(poison, update->fingerprint);
-    enum sas_quarantine_verdict verdict =
+    enum sas_quarantine_decision decision =
         SasPoisonRequests_Check(poison, update->fingerprint);
     if (update->completed) {
-        SasQuarantine_Release(&poison->quarantine, update->fingerprint,
-                              now_ms);
+        SasQuarantine_Trust(&poison->quarantine, update->fingerprint, now_ms);
     }
     else {
         SasQuarantine_Suspect(&poison->quarantine, update->fingerprint,
@@ -247,7 +246,7 @@
     }
     update_digest(poison);
     return count_crashes(poison, update->fingerprint) != before ||
-           SasPoisonRequests_Check(poison, update->fingerprint) != verdict;
+           SasPoisonRequests_Check(poison, update->fingerprint) != decision;
 }
 
 /* At the coordinator: broadcasts a crash once there are ISOLATE_CRASHES, and a
@@ -383,7 +382,7 @@
     crash_probe->probe.on_probed = on_probed;
     crash_probe->poison = poison;
     crash_probe->fingerprint = fingerprint;
-    crash_probe->crash = SasQuarantine_GetCrash(facts->id, born, 0);
+    crash_probe->crash = SasQuarantine_HashCrash(facts->id, born, 0);
     crash_probe->isolated = isolated;
     g_strlcpy(crash_probe->server_id, facts->id,
               sizeof(crash_probe->server_id));
--- a/packages/gateway/src/poison_requests.h
+++ b/packages/gateway/src/poison_requests.h
@@ -44,7 +44,7 @@
 
 /* How the request may be sent: SAS_QUARANTINE_ALLOW, _ALONE (isolated) or
  * _REFUSE. */
-enum sas_quarantine_verdict
+enum sas_quarantine_decision
 SasPoisonRequests_Check(struct sas_poison_requests *poison,
                         struct sas_fingerprint fingerprint);
 
--- a/packages/gateway/src/relay_choose.c
+++ b/packages/gateway/src/relay_choose.c
@@ -158,7 +158,7 @@
     if (!call->has_fingerprint) {
         size_t size = 0;
         const char *body = SasHttpExchange_GetBody(call->exchange, &size);
-        call->fingerprint = SasQuarantine_GetFingerprint(
+        call->fingerprint = SasQuarantine_HashRequest(
             SasHttpExchange_GetMethod(call->exchange),
             SasHttpExchange_GetTarget(call->exchange), body, size);
         call->has_fingerprint = true;
@@ -166,7 +166,7 @@
     return call->fingerprint;
 }
 
-static enum sas_quarantine_verdict
+static enum sas_quarantine_decision
 check_poison(struct relay_call *call)
 {
     struct sas_poison_requests *poison_requests = call->relay->poison_requests;
@@ -348,7 +348,7 @@
                                              : SasRelay_RETRY_AFTER_MS);
         return;
     }
-    enum sas_quarantine_verdict quarantine = check_poison(call);
+    enum sas_quarantine_decision quarantine = check_poison(call);
     if (quarantine == SAS_QUARANTINE_REFUSE) {
         end_unserved(call, "quarantined", SasRelay_RETRY_AFTER_MS);
         return;
@@ -373,7 +373,7 @@
     count = filter_usable(call, slots, count, now_ms, &reason);
     count = avoid_unresponsive(call, slots, count, now_ms);
     count = avoid_grey_failure(call, slots, count, now_ms);
-    call->isolated = quarantine == SAS_QUARANTINE_ALONE;
+    call->isolated = quarantine == SAS_QUARANTINE_ISOLATE;
     if (call->isolated) {
         count = filter_idle(call, slots, count, now_ms);
         reason = "suspect";
--- a/packages/gateway/tests/test_gossip.c
+++ b/packages/gateway/tests/test_gossip.c
@@ -420,7 +420,7 @@
     struct fixture *f = start();
     struct sas_quarantine_entry entry = {
         .fingerprint = {3, 4},
-        .crashes = {{.id = 5, .alone = true}, {.id = 6, .cleared = true}},
+        .crashes = {{.id = 5, .isolated = true}, {.id = 6, .cleared = true}},
         .crash_count = 2,
         .crashed_at = 700,
     };
@@ -439,7 +439,7 @@
         assert_int_equal(got->fingerprint.low, 4);
         assert_int_equal(got->crash_count, 2);
         assert_int_equal(got->crashes[0].id, 5);
-        assert_true(got->crashes[0].alone);
+        assert_true(got->crashes[0].isolated);
         assert_false(got->crashes[0].cleared);
         assert_true(got->crashes[1].cleared);
         assert_int_equal(got->crashed_at, 700);
--- a/packages/node/src/forward.c
+++ b/packages/node/src/forward.c
@@ -104,23 +104,23 @@
     call->timer.data = call;
     call->deadline_at = (int64_t)uv_now(options->loop) +
                         MIN(request->deadline_ms, SasForward_MAX_DEADLINE_MS);
-    call->fingerprint = SasQuarantine_GetFingerprint(
+    call->fingerprint = SasQuarantine_HashRequest(
         request->method, request->target, request->body, request->body_size);
     check_and_start(call);
     return call;
 }
 
-enum sas_quarantine_verdict
+enum sas_quarantine_decision
 SasForwardCall_CheckPoison(struct sas_forward_call *call, int *retry_after_s)
 {
-    enum sas_quarantine_verdict decision = SasPoisonGuard_Check(
+    enum sas_quarantine_decision decision = SasPoisonGuard_Check(
         call->forward->options.poison_guard, call->fingerprint, retry_after_s);
     /* The isolated run in progress is this call's own: its first backend
      * server could not be reached. */
     if (decision == SAS_QUARANTINE_WAIT && call->isolated_run) {
-        decision = SAS_QUARANTINE_ALONE;
+        decision = SAS_QUARANTINE_ISOLATE;
     }
-    call->query.isolated = decision == SAS_QUARANTINE_ALONE;
+    call->query.isolated = decision == SAS_QUARANTINE_ISOLATE;
     call->query.fingerprint = call->fingerprint.low;
     return decision;
 }
@@ -130,7 +130,7 @@
 pass_poison_check(struct sas_forward_call *call)
 {
     int retry_after_s = 0;
-    enum sas_quarantine_verdict decision =
+    enum sas_quarantine_decision decision =
         SasForwardCall_CheckPoison(call, &retry_after_s);
     if (decision == SAS_QUARANTINE_WAIT) {
         SasForwardCall_Refuse(call, SAS_REFUSE_SUSPECT, SAS_OUTCOME_NOT_RUN,
--- a/packages/node/src/forward_attempt.c
+++ b/packages/node/src/forward_attempt.c
@@ -261,10 +261,10 @@
     g_string_truncate(call->buffered, 0);
     g_array_set_size(call->answer_headers, 0);
     int retry_after_s = 0;
-    enum sas_quarantine_verdict decision =
+    enum sas_quarantine_decision decision =
         SasForwardCall_CheckPoison(call, &retry_after_s);
     bool allowed =
-        decision == SAS_QUARANTINE_ALLOW || decision == SAS_QUARANTINE_ALONE;
+        decision == SAS_QUARANTINE_ALLOW || decision == SAS_QUARANTINE_ISOLATE;
     if (call->reply == NULL || !allowed ||
         !may_retry(call, why, may_have_run)) {
         SasForwardCall_Refuse(
--- a/packages/node/src/forward_call.h
+++ b/packages/node/src/forward_call.h
@@ -84,7 +84,7 @@
 
 /* Asks the poison guard; sets call->query.isolated when the request may run
  * only isolated. */
-enum sas_quarantine_verdict
+enum sas_quarantine_decision
 SasForwardCall_CheckPoison(struct sas_forward_call *call, int *retry_after_s);
 
 /* Attempts (forward_attempt.c). */
--- a/packages/node/src/poison_guard.c
+++ b/packages/node/src/poison_guard.c
@@ -62,7 +62,7 @@
     return (int64_t)uv_now(guard->loop);
 }
 
-enum sas_quarantine_verdict
+enum sas_quarantine_decision
 SasPoisonGuard_Check(struct sas_poison_guard *guard,
                      struct sas_fingerprint fingerprint, int *retry_after_s)
 {
@@ -75,8 +75,8 @@
                                 struct sas_fingerprint fingerprint,
                                 int64_t max_run_ms)
 {
-    bool begun = SasQuarantine_BeginTrial(&guard->core, fingerprint,
-                                          max_run_ms, get_now(guard));
+    bool begun = SasQuarantine_BeginIsolatedRun(&guard->core, fingerprint,
+                                                max_run_ms, get_now(guard));
     if (begun) {
         guard->listener->on_change(guard->listener);
     }
@@ -92,7 +92,7 @@
     const char *name = guard->model->backends[backend].name;
     int64_t now = get_now(guard);
     uint64_t crash =
-        SasQuarantine_GetCrash(name, row->incarnation, row->resets);
+        SasQuarantine_HashCrash(name, row->incarnation, row->resets);
     SasQuarantine_Suspect(&guard->core, fingerprint, crash, isolated, now);
     SasMetrics_Add(guard->metrics, guard->suspected_counter, 1);
     SasLog_Write(SasLog_WARN, "guard.suspect", name,
@@ -125,8 +125,8 @@
     if (row->unconfirmed_crash != 0 && report->asked_at >= row->lost_at) {
         if (same) {
             row->resets++;
-            SasQuarantine_Void(&guard->core, row->unconfirmed_crash,
-                               get_now(guard));
+            SasQuarantine_Dismiss(&guard->core, row->unconfirmed_crash,
+                                  get_now(guard));
             SasMetrics_Add(guard->metrics, guard->dismissed_counter, 1);
             guard->listener->on_change(guard->listener);
         }
@@ -154,12 +154,12 @@
         row->high = entry.fingerprint.high;
         row->low = entry.fingerprint.low;
         row->left_ms = (u_int)entry.left_ms;
-        row->trial_ms = (u_int)entry.trial_ms;
+        row->trial_ms = (u_int)entry.isolated_ms;
         row->crashes.crashes_len = (u_int)entry.crash_count;
         row->crashes.crashes_val = guard->crashes[count];
         for (int i = 0; i < entry.crash_count; i++) {
             guard->crashes[count][i] = (struct sas_rpc_crash){
-                entry.crashes[i].id, entry.crashes[i].alone,
+                entry.crashes[i].id, entry.crashes[i].isolated,
                 entry.crashes[i].cleared};
         }
         count++;
@@ -185,7 +185,7 @@
         struct sas_quarantine_entry entry = {
             .fingerprint = {row->high, row->low},
             .left_ms = MIN(row->left_ms, SasQuarantine_LIFE_MS),
-            .trial_ms = MIN(row->trial_ms, SasForward_MAX_DEADLINE_MS),
+            .isolated_ms = MIN(row->trial_ms, SasForward_MAX_DEADLINE_MS),
         };
         u_int crashes =
             MIN(row->crashes.crashes_len, (u_int)SasQuarantine_MAX_CRASHES);
--- a/packages/node/src/poison_guard.h
+++ b/packages/node/src/poison_guard.h
@@ -38,7 +38,7 @@
 
 /* Whether a request may run, and whether only isolated. Sets *retry_after_s
  * when it may not. */
-enum sas_quarantine_verdict
+enum sas_quarantine_decision
 SasPoisonGuard_Check(struct sas_poison_guard *guard,
                      struct sas_fingerprint fingerprint, int *retry_after_s);
 
