--- a/packages/core/include/sas/budget.h
+++ b/packages/core/include/sas/budget.h
@@ -34,11 +34,11 @@
 #include <stdint.h>
 #include <glib.h>
 
-#define SasBudget_MAX_SEATS 32
+#define SasBudget_MAX_MEMBERS 32
 #define SasBudget_MAX_LOANS 64       /* lent, and as many borrowed */
 #define SasBudget_MAX_PENDING 3      /* loan requests in flight */
 #define SasBudget_ANSWER_MS 1000     /* then a request is taken for lost */
-#define SasBudget_LIFE_MS 15000      /* default duration of a loan */
+#define SasBudget_LOAN_MS 15000      /* default duration of a loan */
 #define SasBudget_MARGIN_MS 1000     /* a lender holds a loan longer by this */
 #define SasBudget_CLOCK_PERCENT 2    /* and by this part of its duration */
 #define SasBudget_RESERVE_PERCENT 10 /* of a floor: never lent */
@@ -56,7 +56,7 @@
 
 struct sas_loan {
     uint64_t id;      /* 0: a free entry */
-    int seat;         /* the peer */
+    int member_id;    /* the peer */
     int64_t granted;  /* units; never rises */
     int64_t used;     /* units in use (borrower) */
     int64_t until_ms; /* usable (borrower) or held (lender) until then */
@@ -67,31 +67,31 @@
 };
 
 struct sas_budget_peer {
-    int64_t peak;    /* upper bound of the floor that it may still use */
-    int64_t epoch;   /* the newest that it announced, -1: none */
-    int64_t unused;  /* hint: units that it might lend */
-    int64_t hint_ms; /* when the hint came, INT64_MIN: never */
-    int64_t ask_ms;  /* no loan request before then */
+    int64_t max_floor; /* upper bound of the floor that it may still use */
+    int64_t epoch;     /* the newest that it announced, -1: none */
+    int64_t unused;    /* hint: units that it might lend */
+    int64_t hint_ms;   /* when the hint came, INT64_MIN: never */
+    int64_t ask_ms;    /* no loan request before then */
     int64_t backoff_ms;
     bool disowned; /* holds no loan of our earlier incarnations */
 };
 
 struct sas_budget_settings {
     enum sas_budget_kind kind;
-    int seats;
-    int own_seat;
+    int members;
+    int own_id;
     uint32_t incarnation; /* differs from earlier starts of this member */
-    int64_t life_ms;      /* of loans; fixed, the same on all members */
+    int64_t loan_ms;      /* of loans; fixed, the same on all members */
     int64_t quantum;      /* rates: the largest single amount */
 };
 
 struct sas_budget {
     struct sas_budget_settings settings;
     int64_t epoch;
-    int64_t announced; /* newest epoch whose floor our use is within */
-    int64_t entitled;  /* own floor, as far as peers announced room */
-    int64_t floors[SasBudget_MAX_SEATS];
-    struct sas_budget_peer peers[SasBudget_MAX_SEATS];
+    int64_t announced;       /* newest epoch whose floor our use is within */
+    int64_t effective_floor; /* own floor, as far as peers announced room */
+    int64_t floors[SasBudget_MAX_MEMBERS];
+    struct sas_budget_peer peers[SasBudget_MAX_MEMBERS];
     struct sas_loan lent[SasBudget_MAX_LOANS];
     struct sas_loan borrowed[SasBudget_MAX_LOANS];
     uint32_t next_loan;
@@ -104,7 +104,7 @@
     int64_t mean_acquired;
     int64_t mean_refused;
     int64_t decayed_ms; /* up to then the means have decayed */
-    bool short_of;      /* units were refused since the last loan came */
+    bool unmet;         /* units were refused since the last loan came */
     int64_t tokens;     /* rates: thousandths of a milli-unit */
     int64_t filled_ms;  /* rates: last refill of the token bucket */
 };
@@ -156,14 +156,15 @@
  * Returns the source to release them to, or -1. Only requests that end before
  * a loan does use it, so that none is running when the lender uses the units
  * again; a request too long for every loan needs own units. */
-int SasBudget_Take(struct sas_budget *b, int64_t units, int64_t lasts_ms,
-                   int64_t now_ms);
-void SasBudget_Give(struct sas_budget *b, int source, int64_t units,
-                    int64_t now_ms);
+int SasBudget_Acquire(struct sas_budget *b, int64_t units, int64_t lasts_ms,
+                      int64_t now_ms);
+void SasBudget_Release(struct sas_budget *b, int source, int64_t units,
+                       int64_t now_ms);
 
 /* Acquires an amount of a rate. Over any window the members together acquire
  * at most limit * window + sum of their SasBudget_GetBurst. */
-bool SasBudget_TakeRate(struct sas_budget *b, int64_t amount, int64_t now_ms);
+bool SasBudget_AcquireRate(struct sas_budget *b, int64_t amount,
+                           int64_t now_ms);
 int64_t SasBudget_GetBurst(struct sas_budget *b, int64_t now_ms);
 
 /* Borrowing. */
@@ -215,8 +216,8 @@
                       int64_t left, int64_t now_ms);
 
 /* Handles a return; left as above. */
-void SasBudget_TakeBack(struct sas_budget *b, int borrower, uint64_t id,
-                        int64_t left, int64_t now_ms);
+void SasBudget_AcceptReturn(struct sas_budget *b, int borrower, uint64_t id,
+                            int64_t left, int64_t now_ms);
 
 /* Peers. */
 
--- a/packages/core/src/budget.c
+++ b/packages/core/src/budget.c
@@ -7,7 +7,7 @@
 
 /* A peer's floor may be anything after a skipped epoch. Low enough for a sum
  * over all members. */
-#define UNKNOWN_FLOOR (INT64_MAX / (2 * SasBudget_MAX_SEATS))
+#define UNKNOWN_FLOOR (INT64_MAX / (2 * SasBudget_MAX_MEMBERS))
 
 #define MAX_HINT INT32_MAX /* so that sums of hints do not overflow */
 
@@ -55,7 +55,7 @@
 {
     int64_t total = 0;
     int64_t given = 0;
-    int64_t rests[SasBudget_MAX_SEATS];
+    int64_t rests[SasBudget_MAX_MEMBERS];
     for (int i = 0; i < member_count; i++) {
         total += weights[i];
     }
@@ -88,19 +88,19 @@
     b->announced = -1;
     b->decayed_ms = now_ms;
     b->filled_ms = now_ms;
-    for (int i = 0; i < settings->seats; i++) {
+    for (int i = 0; i < settings->members; i++) {
         b->floors[i] = floors[i];
-        b->peers[i].peak = floors[i];
+        b->peers[i].max_floor = floors[i];
         b->peers[i].epoch = -1;
         b->peers[i].hint_ms = NEVER;
         b->peers[i].ask_ms = now_ms;
         b->peers[i].backoff_ms = SasBudget_MIN_BACKOFF_MS;
     }
-    b->entitled = floors[settings->own_seat];
+    b->effective_floor = floors[settings->own_id];
     /* An earlier incarnation may just have lent all but the reserve, and only
      * its borrowers know. Using the whole floor now would use those units
      * twice. The last of these loans ends within ejection_ms. */
-    b->recovering = settings->seats > 1;
+    b->recovering = settings->members > 1;
     b->recover_until_ms = now_ms + hold_ms(b);
 }
 
@@ -114,15 +114,17 @@
     advance(b, now_ms);
     bool skipped = epoch != b->epoch + 1;
     b->epoch = epoch;
-    for (int i = 0; i < b->settings.seats; i++) {
+    for (int i = 0; i < b->settings.members; i++) {
         struct sas_budget_peer *peer = &b->peers[i];
         b->floors[i] = floors[i];
         /* A peer that has not announced this epoch may still use its floor of
          * any epoch since the last one that it announced. */
-        peer->peak = skipped ? UNKNOWN_FLOOR : at_least(peer->peak, floors[i]);
-        peer->peak = peer->epoch == epoch ? floors[i] : peer->peak;
+        peer->max_floor =
+            skipped ? UNKNOWN_FLOOR : at_least(peer->max_floor, floors[i]);
+        peer->max_floor = peer->epoch == epoch ? floors[i] : peer->max_floor;
     }
-    b->entitled = at_most(b->entitled, floors[b->settings.own_seat]);
+    b->effective_floor =
+        at_most(b->effective_floor, floors[b->settings.own_id]);
     raise_own_floor(b);
 }
 
@@ -135,8 +137,8 @@
      * waits for the loans and running requests of the older epoch, and for the
      * reserve, which a restarted process would use in addition to the loans.
      */
-    bool within = lent + b->own_used <= b->entitled &&
-                  lent <= b->entitled - reserve_of(b->entitled);
+    bool within = lent + b->own_used <= b->effective_floor &&
+                  lent <= b->effective_floor - reserve_of(b->effective_floor);
     if (within && !b->recovering) {
         b->announced = b->epoch;
     }
@@ -171,8 +173,8 @@
 }
 
 int
-SasBudget_Take(struct sas_budget *b, int64_t units, int64_t lasts_ms,
-               int64_t now_ms)
+SasBudget_Acquire(struct sas_budget *b, int64_t units, int64_t lasts_ms,
+                  int64_t now_ms)
 {
     advance(b, now_ms);
     int source = -1;
@@ -193,7 +195,7 @@
     }
     if (source < 0) {
         add_to_mean(&b->mean_refused, units);
-        b->short_of = true;
+        b->unmet = true;
         return -1;
     }
     if (source == 0) {
@@ -207,7 +209,8 @@
 }
 
 void
-SasBudget_Give(struct sas_budget *b, int source, int64_t units, int64_t now_ms)
+SasBudget_Release(struct sas_budget *b, int source, int64_t units,
+                  int64_t now_ms)
 {
     if (source == 0) {
         b->own_used -= units;
@@ -219,12 +222,12 @@
 }
 
 bool
-SasBudget_TakeRate(struct sas_budget *b, int64_t amount, int64_t now_ms)
+SasBudget_AcquireRate(struct sas_budget *b, int64_t amount, int64_t now_ms)
 {
     advance(b, now_ms);
     if (amount * TOKEN_SCALE > b->tokens) {
         add_to_mean(&b->mean_refused, amount);
-        b->short_of = true;
+        b->unmet = true;
         return false;
     }
     b->tokens -= amount * TOKEN_SCALE;
@@ -247,7 +250,7 @@
     advance(b, now_ms);
     int64_t allowance = own_units(b) + borrowed_units(b, now_ms);
     int64_t need = recent_need(b, BORROWER_HEADROOM);
-    if (!b->short_of || need <= allowance) {
+    if (!b->unmet || need <= allowance) {
         return 0;
     }
     return at_least(need - allowance, allowance / 8);
@@ -256,14 +259,14 @@
 int
 SasBudget_ChooseLender(struct sas_budget *b, int64_t now_ms, GRand *rand)
 {
-    int64_t weights[SasBudget_MAX_SEATS] = {0};
+    int64_t weights[SasBudget_MAX_MEMBERS] = {0};
     int64_t total = 0;
     bool known = false;
-    for (int i = 0; i < b->settings.seats; i++) {
+    for (int i = 0; i < b->settings.members; i++) {
         const struct sas_budget_peer *peer = &b->peers[i];
         bool fresh = peer->hint_ms != NEVER &&
                      now_ms - peer->hint_ms < SasBudget_HINT_MS;
-        if (i == b->settings.own_seat || now_ms < peer->ask_ms) {
+        if (i == b->settings.own_id || now_ms < peer->ask_ms) {
             continue;
         }
         /* Without a recent hint it is unknown what a peer has. Such a peer is
@@ -280,7 +283,7 @@
         return -1;
     }
     int64_t point = (int64_t)(g_rand_double(rand) * (double)total);
-    for (int i = 0; i < b->settings.seats; i++) {
+    for (int i = 0; i < b->settings.members; i++) {
         point -= weights[i];
         if (point < 0) {
             return i;
@@ -311,10 +314,10 @@
     /* An id of an earlier incarnation would get that one's grant, which ends
      * earlier than a loan granted now. */
     loan->id = (uint64_t)b->settings.incarnation << 32 | b->next_loan;
-    loan->seat = lender;
+    loan->member_id = lender;
     loan->pending = true;
     loan->asked_ms = now_ms;
-    loan->until_ms = now_ms + b->settings.life_ms;
+    loan->until_ms = now_ms + b->settings.loan_ms;
     return loan->id;
 }
 
@@ -327,7 +330,7 @@
     /* A duplicate answer would count a loan twice; one to a loan that was
      * returned or has ended by our clock would count units that the lender
      * uses again. */
-    if (loan == NULL || !loan->pending || loan->seat != lender) {
+    if (loan == NULL || !loan->pending || loan->member_id != lender) {
         return false;
     }
     struct sas_budget_peer *peer = &b->peers[lender];
@@ -339,7 +342,7 @@
         return false;
     }
     peer->backoff_ms = SasBudget_MIN_BACKOFF_MS;
-    b->short_of = false;
+    b->unmet = false;
     return true;
 }
 
@@ -347,7 +350,7 @@
 SasBudget_FindRenewal(struct sas_budget *b, int64_t now_ms)
 {
     advance(b, now_ms);
-    int64_t third = b->settings.life_ms / 3;
+    int64_t third = b->settings.loan_ms / 3;
     for (int i = 0; i < SasBudget_MAX_LOANS; i++) {
         const struct sas_loan *loan = &b->borrowed[i];
         if (loan->id == 0 || loan->pending || loan->closing ||
@@ -413,7 +416,7 @@
         return;
     }
     loan->until_ms =
-        at_least(loan->until_ms, loan->asked_ms + b->settings.life_ms);
+        at_least(loan->until_ms, loan->asked_ms + b->settings.loan_ms);
 }
 
 int64_t
@@ -444,10 +447,10 @@
     if (b->recovering) {
         return 0;
     }
-    int64_t kept =
-        at_least(reserve_of(b->entitled), recent_need(b, LENDER_HEADROOM));
+    int64_t kept = at_least(reserve_of(b->effective_floor),
+                            recent_need(b, LENDER_HEADROOM));
     kept = at_least(kept, b->own_used + overdue_units(b, now_ms));
-    return at_least(b->entitled - lent_units(b) - kept, 0);
+    return at_least(b->effective_floor - lent_units(b) - kept, 0);
 }
 
 int64_t
@@ -455,12 +458,12 @@
                int64_t now_ms)
 {
     advance(b, now_ms);
-    if (borrower < 0 || borrower >= b->settings.seats || id == 0) {
+    if (borrower < 0 || borrower >= b->settings.members || id == 0) {
         return 0;
     }
     struct sas_loan *loan = find_loan(b->lent, id);
     if (loan != NULL) {
-        return loan->seat == borrower ? loan->granted : 0;
+        return loan->member_id == borrower ? loan->granted : 0;
     }
     int64_t granted = at_most(wanted, SasBudget_GetUnused(b, now_ms));
     loan = find_free(b->lent);
@@ -468,7 +471,7 @@
         return 0;
     }
     loan->id = id;
-    loan->seat = borrower;
+    loan->member_id = borrower;
     loan->granted = granted;
     loan->until_ms = now_ms + hold_ms(b);
     return granted;
@@ -478,9 +481,9 @@
 SasBudget_Extend(struct sas_budget *b, int borrower, uint64_t id, int64_t left,
                  int64_t now_ms)
 {
-    SasBudget_TakeBack(b, borrower, id, left, now_ms);
+    SasBudget_AcceptReturn(b, borrower, id, left, now_ms);
     struct sas_loan *loan = find_loan(b->lent, id);
-    if (loan == NULL || loan->seat != borrower || loan->granted == 0) {
+    if (loan == NULL || loan->member_id != borrower || loan->granted == 0) {
         return false;
     }
     /* Own requests come first, up to the floor. No more loans are closed than
@@ -490,10 +493,10 @@
         closing += b->lent[i].closing ? b->lent[i].granted : 0;
     }
     int64_t lent = lent_units(b);
-    int64_t need =
-        at_least(recent_need(b, LENDER_HEADROOM), reserve_of(b->entitled));
-    need = at_most(need, b->entitled);
-    if (!loan->closing && need > b->entitled - lent + closing) {
+    int64_t need = at_least(recent_need(b, LENDER_HEADROOM),
+                            reserve_of(b->effective_floor));
+    need = at_most(need, b->effective_floor);
+    if (!loan->closing && need > b->effective_floor - lent + closing) {
         loan->closing = true;
     }
     if (loan->closing) {
@@ -504,14 +507,14 @@
 }
 
 void
-SasBudget_TakeBack(struct sas_budget *b, int borrower, uint64_t id,
-                   int64_t left, int64_t now_ms)
+SasBudget_AcceptReturn(struct sas_budget *b, int borrower, uint64_t id,
+                       int64_t left, int64_t now_ms)
 {
     advance(b, now_ms);
     struct sas_loan *loan = find_loan(b->lent, id);
     /* The message holds what remains, not what is returned, so that a
      * duplicate or late one creates no units. */
-    if (loan != NULL && loan->seat == borrower) {
+    if (loan != NULL && loan->member_id == borrower) {
         loan->granted = at_most(loan->granted, at_least(left, 0));
     }
 }
@@ -523,8 +526,8 @@
                int64_t epoch, int64_t now_ms)
 {
     advance(b, now_ms);
-    if (member_id < 0 || member_id >= b->settings.seats ||
-        member_id == b->settings.own_seat) {
+    if (member_id < 0 || member_id >= b->settings.members ||
+        member_id == b->settings.own_id) {
         return;
     }
     struct sas_budget_peer *peer = &b->peers[member_id];
@@ -537,7 +540,7 @@
     /* Only an announcement of our own epoch counts: a peer in a later one may
      * have skipped ours, and its present floor isn't known here. */
     if (epoch == b->epoch) {
-        peer->peak = b->floors[member_id];
+        peer->max_floor = b->floors[member_id];
         raise_own_floor(b);
     }
 }
@@ -549,7 +552,7 @@
     bool none_left = true;
     for (int i = 0; i < SasBudget_MAX_LOANS; i++) {
         struct sas_loan *loan = &b->borrowed[i];
-        if (loan->id == 0 || loan->seat != lender) {
+        if (loan->id == 0 || loan->member_id != lender) {
             continue;
         }
         if (loan->pending) {
@@ -570,12 +573,12 @@
     /* A late answer to an earlier incarnation says nothing about the loans
      * that one granted after it asked. */
     if (incarnation != b->settings.incarnation || member_id < 0 ||
-        member_id >= b->settings.seats) {
+        member_id >= b->settings.members) {
         return;
     }
     b->peers[member_id].disowned = true;
-    for (int i = 0; i < b->settings.seats; i++) {
-        if (i != b->settings.own_seat && !b->peers[i].disowned) {
+    for (int i = 0; i < b->settings.members; i++) {
+        if (i != b->settings.own_id && !b->peers[i].disowned) {
             return;
         }
     }
@@ -590,7 +593,7 @@
 static int64_t
 hold_ms(const struct sas_budget *b)
 {
-    int64_t loan_ms = b->settings.life_ms;
+    int64_t loan_ms = b->settings.loan_ms;
     return loan_ms + loan_ms * SasBudget_CLOCK_PERCENT / 100 +
            SasBudget_MARGIN_MS;
 }
@@ -627,9 +630,9 @@
 own_units(const struct sas_budget *b)
 {
     if (b->recovering) {
-        return reserve_of(b->entitled);
+        return reserve_of(b->effective_floor);
     }
-    return at_least(b->entitled - lent_units(b), 0);
+    return at_least(b->effective_floor - lent_units(b), 0);
 }
 
 static int64_t
@@ -726,15 +729,15 @@
 static void
 raise_own_floor(struct sas_budget *b)
 {
-    int own = b->settings.own_seat;
+    int own = b->settings.own_id;
     int64_t limit = 0;
     int64_t highest = b->floors[own];
-    for (int i = 0; i < b->settings.seats; i++) {
+    for (int i = 0; i < b->settings.members; i++) {
         limit += b->floors[i];
-        highest += i == own ? 0 : b->peers[i].peak;
+        highest += i == own ? 0 : b->peers[i].max_floor;
     }
     int64_t excess = at_least(highest - limit, 0);
-    b->entitled = at_least(b->entitled, b->floors[own] - excess);
+    b->effective_floor = at_least(b->effective_floor, b->floors[own] - excess);
 }
 
 /* Units that requests needed recently. How long refused requests would have
--- a/packages/core/tests/budget_shim.c
+++ b/packages/core/tests/budget_shim.c
@@ -9,12 +9,12 @@
 #include "sas/quarantine.h"
 
 struct sas_budget *SasShim_NewBudget(int kind, int member_count, int own_id,
-                                     uint32_t incarnation, int64_t life_ms,
+                                     uint32_t incarnation, int64_t loan_ms,
                                      int64_t quantum, const int64_t *floors,
                                      int64_t epoch, int64_t now_ms);
 uint64_t SasShim_FindRenewal(struct sas_budget *b, int64_t now_ms);
 uint64_t SasShim_FindSurplus(struct sas_budget *b, int64_t now_ms);
-int SasShim_GetLoanSeat(const struct sas_budget *b, uint64_t id);
+int SasShim_GetLoanMember(const struct sas_budget *b, uint64_t id);
 int64_t SasShim_GetLoanGranted(const struct sas_budget *b, uint64_t id);
 int64_t SasShim_PeekAllowance(const struct sas_budget *b, int64_t now_ms);
 int64_t SasShim_PeekAnnounced(const struct sas_budget *b, int64_t now_ms);
@@ -42,15 +42,15 @@
 
 struct sas_budget *
 SasShim_NewBudget(int kind, int member_count, int own_id, uint32_t incarnation,
-                  int64_t life_ms, int64_t quantum, const int64_t *floors,
+                  int64_t loan_ms, int64_t quantum, const int64_t *floors,
                   int64_t epoch, int64_t now_ms)
 {
     struct sas_budget_settings settings = {
         .kind = kind == 0 ? SAS_BUDGET_CONCURRENT : SAS_BUDGET_RATE,
-        .seats = member_count,
-        .own_seat = own_id,
+        .members = member_count,
+        .own_id = own_id,
         .incarnation = incarnation,
-        .life_ms = life_ms,
+        .loan_ms = loan_ms,
         .quantum = quantum,
     };
     struct sas_budget *b = g_new0(struct sas_budget, 1);
@@ -73,11 +73,11 @@
 }
 
 int
-SasShim_GetLoanSeat(const struct sas_budget *b, uint64_t id)
+SasShim_GetLoanMember(const struct sas_budget *b, uint64_t id)
 {
     for (int i = 0; i < SasBudget_MAX_LOANS; i++) {
         if (b->borrowed[i].id == id) {
-            return b->borrowed[i].seat;
+            return b->borrowed[i].member_id;
         }
     }
     return -1;
--- a/packages/core/tests/test_budget.c
+++ b/packages/core/tests/test_budget.c
@@ -14,10 +14,10 @@
 {
     struct sas_budget_settings settings = {
         .kind = kind,
-        .seats = MEMBERS,
-        .own_seat = own,
+        .members = MEMBERS,
+        .own_id = own,
         .incarnation = 1,
-        .life_ms = LOAN_MS,
+        .loan_ms = LOAN_MS,
         .quantum = 1000,
     };
     SasBudget_Init(b, &settings, floors, 0, now_ms);
@@ -58,12 +58,12 @@
     uint64_t id = SasBudget_Ask(&b, 1, 0);
     assert_true(SasBudget_Borrowed(&b, 1, id, 1, 10));
     assert_int_equal(SasBudget_GetAllowance(&b, 10), 2);
-    assert_int_equal(SasBudget_Take(&b, 1, 60000, 10), 0);
-    assert_int_equal(SasBudget_Take(&b, 1, 60000, 10), -1);
-    int source = SasBudget_Take(&b, 1, 5000, 10);
+    assert_int_equal(SasBudget_Acquire(&b, 1, 60000, 10), 0);
+    assert_int_equal(SasBudget_Acquire(&b, 1, 60000, 10), -1);
+    int source = SasBudget_Acquire(&b, 1, 5000, 10);
     assert_true(source > 0);
     assert_int_equal(SasBudget_GetAllowance(&b, LOAN_MS), 1);
-    SasBudget_Give(&b, source, 1, LOAN_MS);
+    SasBudget_Release(&b, source, 1, LOAN_MS);
     assert_int_equal(SasBudget_GetUsed(&b), 1);
 }
 
@@ -80,8 +80,8 @@
     assert_int_equal(SasBudget_Lend(&b, 1, 77, 5, 1), 5);
     assert_int_equal(SasBudget_GetAllowance(&b, 1), 15);
     assert_int_equal(SasBudget_Lend(&b, 2, 77, 5, 1), 0);
-    SasBudget_TakeBack(&b, 1, 77, 2, 2);
-    SasBudget_TakeBack(&b, 1, 77, 4, 3);
+    SasBudget_AcceptReturn(&b, 1, 77, 2, 2);
+    SasBudget_AcceptReturn(&b, 1, 77, 4, 3);
     assert_int_equal(SasBudget_GetAllowance(&b, 3), 18);
 }
 
@@ -97,21 +97,21 @@
     start(&b, SAS_BUDGET_CONCURRENT, 0, floors, 0);
     uint64_t id = SasBudget_Ask(&b, 1, 0);
     assert_true(SasBudget_Borrowed(&b, 1, id, 2, 0));
-    int source = SasBudget_Take(&b, 1, 5000, 0);
+    int source = SasBudget_Acquire(&b, 1, 5000, 0);
     assert_true(source > 0);
     uint32_t renewal = SasBudget_Renew(&b, id, 10);
     SasBudget_Renewed(&b, id, renewal, false, 20);
     assert_int_equal(SasBudget_FindSurplus(&b, 20)->id, id);
     assert_int_equal(SasBudget_Return(&b, id, 20), 1);
-    assert_int_equal(SasBudget_Take(&b, 1, 5000, LOAN_MS + 1), -1);
-    SasBudget_Give(&b, source, 1, LOAN_MS + 2);
-    assert_int_equal(SasBudget_Take(&b, 1, 5000, LOAN_MS + 2), 0);
+    assert_int_equal(SasBudget_Acquire(&b, 1, 5000, LOAN_MS + 1), -1);
+    SasBudget_Release(&b, source, 1, LOAN_MS + 2);
+    assert_int_equal(SasBudget_Acquire(&b, 1, 5000, LOAN_MS + 2), 0);
 
     id = SasBudget_Ask(&b, 2, LOAN_MS + 2);
     assert_true(SasBudget_Borrowed(&b, 2, id, 2, LOAN_MS + 2));
     renewal = SasBudget_Renew(&b, id, LOAN_MS + 10);
     SasBudget_Renewed(&b, id, renewal, false, LOAN_MS + 20);
-    assert_int_equal(SasBudget_Take(&b, 1, 5000, LOAN_MS + 20), -1);
+    assert_int_equal(SasBudget_Acquire(&b, 1, 5000, LOAN_MS + 20), -1);
 }
 
 /* Two busy entry VMs must not pass the same slots back and forth while each
@@ -126,12 +126,12 @@
     start(&b, SAS_BUDGET_CONCURRENT, 0, floors, 0);
     assert_int_equal(SasBudget_Lend(&b, 1, 77, 4, 0), 4);
     assert_true(SasBudget_Extend(&b, 1, 77, 4, 100));
-    assert_int_equal(SasBudget_Take(&b, 4, 20000, 100), 0);
-    assert_int_equal(SasBudget_Take(&b, 1, 20000, 100), -1);
+    assert_int_equal(SasBudget_Acquire(&b, 4, 20000, 100), 0);
+    assert_int_equal(SasBudget_Acquire(&b, 1, 20000, 100), -1);
     assert_false(SasBudget_Extend(&b, 1, 77, 4, 5000));
     assert_int_equal(SasBudget_Lend(&b, 2, 78, 1, 5000), 0);
-    SasBudget_TakeBack(&b, 1, 77, 0, 6000);
-    assert_int_equal(SasBudget_Take(&b, 4, 20000, 6000), 0);
+    SasBudget_AcceptReturn(&b, 1, 77, 0, 6000);
+    assert_int_equal(SasBudget_Acquire(&b, 4, 20000, 6000), 0);
     assert_int_equal(SasBudget_Lend(&b, 2, 79, 1, 12000), 0);
 }
 
@@ -160,18 +160,18 @@
         }
         int source = 0;
         while (kind == SAS_BUDGET_CONCURRENT && running < 400 && source >= 0) {
-            source = SasBudget_Take(&members[0], 1, 5000, now);
+            source = SasBudget_Acquire(&members[0], 1, 5000, now);
             sources[running] = source;
             running += source >= 0;
         }
         /* One request ends each step. */
         if (running > 0) {
-            SasBudget_Give(&members[0], sources[0], 1, now);
+            SasBudget_Release(&members[0], sources[0], 1, now);
             running--;
             sources[0] = sources[running];
         }
         while (kind == SAS_BUDGET_RATE &&
-               SasBudget_TakeRate(&members[0], 1000, now)) {
+               SasBudget_AcquireRate(&members[0], 1000, now)) {
             *acquired += now >= 20000 ? 1000 : 0;
         }
         int64_t wanted = SasBudget_GetWanted(&members[0], now);
@@ -185,7 +185,7 @@
         const struct sas_loan *due = SasBudget_FindRenewal(&members[0], now);
         if (due != NULL) {
             uint32_t seq = SasBudget_Renew(&members[0], due->id, now);
-            bool ok = SasBudget_Extend(&members[due->seat], 0, due->id,
+            bool ok = SasBudget_Extend(&members[due->member_id], 0, due->id,
                                        due->granted, now);
             SasBudget_Renewed(&members[0], due->id, seq, ok, now);
         }
@@ -227,7 +227,7 @@
     assert_int_equal(SasBudget_GetWanted(&budget, 0), 0);
     int64_t wanted = 0;
     for (int64_t now = 0; now < 2000; now += 400) {
-        assert_false(SasBudget_TakeRate(&budget, 1000, now));
+        assert_false(SasBudget_AcquireRate(&budget, 1000, now));
         wanted = MAX(wanted, SasBudget_GetWanted(&budget, now));
     }
     assert_true(wanted >= 500);
--- a/packages/node/src/lending.c
+++ b/packages/node/src/lending.c
@@ -66,7 +66,7 @@
            int64_t remote_weight, int64_t *floors)
 {
     const struct sas_model *model = lending->options.model;
-    int64_t weights[SasBudget_MAX_SEATS] = {0};
+    int64_t weights[SasBudget_MAX_MEMBERS] = {0};
     for (int i = 0; i < model->vm_count; i++) {
         weights[i] = SasModel_GetVmRegion(model, i) == local_region
                          ? LOCAL_WEIGHT
@@ -97,10 +97,10 @@
     bool is_rate = unit == SAS_CAP_REQUESTS || unit == SAS_CAP_MBIT;
     struct sas_budget_settings settings = {
         .kind = is_rate ? SAS_BUDGET_RATE : SAS_BUDGET_CONCURRENT,
-        .seats = lending->options.model->vm_count,
-        .own_seat = lending->options.own_vm,
+        .members = lending->options.model->vm_count,
+        .own_id = lending->options.own_vm,
         .incarnation = lending->next_incarnation++,
-        .life_ms = is_rate ? RATE_LOAN_MS : SasBudget_LIFE_MS,
+        .loan_ms = is_rate ? RATE_LOAN_MS : SasBudget_LOAN_MS,
         .quantum = get_quantum(unit),
     };
     SasBudget_Init(&entry->core, &settings, floors, epoch, SasPeer_GetNow());
@@ -169,7 +169,7 @@
                 lending->options.server_queue *
                     SasModel_CountBackends(model, service, region);
     char name[NAME_SIZE];
-    int64_t floors[SasBudget_MAX_SEATS];
+    int64_t floors[SasBudget_MAX_MEMBERS];
     format_slots_name(model, service, region, name);
     get_floors(lending, slots, region, REMOTE_WEIGHT, floors);
     init_core(lending, add_entry(lending, name), SAS_CAP_CONCURRENT, floors,
@@ -181,7 +181,7 @@
 add_link(struct sas_lending *lending, const struct sas_link *link)
 {
     char name[NAME_SIZE];
-    int64_t floors[SasBudget_MAX_SEATS];
+    int64_t floors[SasBudget_MAX_MEMBERS];
     format_link_name(lending->options.model, link->from, link->to, name);
     get_floors(lending, link->mbit_per_s * 1000, link->from, 0, floors);
     init_core(lending, add_entry(lending, name), SAS_CAP_MBIT, floors, 0);
@@ -192,10 +192,10 @@
                 struct sas_error *error)
 {
     const struct sas_model *model = options->model;
-    if (model->vm_count > SasBudget_MAX_SEATS) {
+    if (model->vm_count > SasBudget_MAX_MEMBERS) {
         SasError_Set(error, SAS_ECAPACITY, "lending.open", NULL,
                      "%d entry VMs; a budget supports %d at most",
-                     model->vm_count, SasBudget_MAX_SEATS);
+                     model->vm_count, SasBudget_MAX_MEMBERS);
         return NULL;
     }
     struct sas_lending *lending = g_new0(struct sas_lending, 1);
@@ -283,7 +283,7 @@
         const struct sas_shift *shift)
 {
     char name[NAME_SIZE];
-    int64_t floors[SasBudget_MAX_SEATS];
+    int64_t floors[SasBudget_MAX_MEMBERS];
     format_cap_name(lending->options.model, shift, name);
     int budget = find_by_name(lending, name);
     struct budget_entry *entry = budget != SasModel_NONE
@@ -384,7 +384,7 @@
     }
     struct budget_entry *entry = get_entry(lending, budget);
     int source =
-        SasBudget_Take(&entry->core, units, max_run_ms, SasPeer_GetNow());
+        SasBudget_Acquire(&entry->core, units, max_run_ms, SasPeer_GetNow());
     if (source < 0) {
         request_loan(lending, budget);
     }
@@ -396,8 +396,8 @@
                    int64_t units)
 {
     if (budget != SasModel_NONE) {
-        SasBudget_Give(&get_entry(lending, budget)->core, source, units,
-                       SasPeer_GetNow());
+        SasBudget_Release(&get_entry(lending, budget)->core, source, units,
+                          SasPeer_GetNow());
     }
 }
 
@@ -413,12 +413,13 @@
      * exceed the rate. */
     int64_t quantum = entry->core.settings.quantum;
     int64_t now = SasPeer_GetNow();
-    while (entry->debt > 0 &&
-           SasBudget_TakeRate(&entry->core, MIN(entry->debt, quantum), now)) {
+    while (
+        entry->debt > 0 &&
+        SasBudget_AcquireRate(&entry->core, MIN(entry->debt, quantum), now)) {
         entry->debt -= MIN(entry->debt, quantum);
     }
     if (entry->debt == 0 &&
-        SasBudget_TakeRate(&entry->core, MIN(amount, quantum), now)) {
+        SasBudget_AcquireRate(&entry->core, MIN(amount, quantum), now)) {
         entry->debt += amount - MIN(amount, quantum);
         return true;
     }
@@ -539,7 +540,7 @@
 return_loan(struct sas_lending *lending, struct budget_entry *entry,
             const struct sas_loan *loan)
 {
-    int member_id = loan->seat;
+    int member_id = loan->member_id;
     uint64_t id = loan->id;
     int64_t left = SasBudget_Return(&entry->core, id, SasPeer_GetNow());
     struct sas_rpc_return back = {
@@ -566,7 +567,7 @@
     if (loan == NULL) {
         return;
     }
-    int member_id = loan->seat;
+    int member_id = loan->member_id;
     uint64_t id = loan->id;
     int64_t granted = loan->granted;
     uint32_t renewal = SasBudget_Renew(&entry->core, id, now);
@@ -713,8 +714,9 @@
 {
     int budget = find_entry(lending, back->budget);
     if (budget != SasModel_NONE && back->units <= INT64_MAX / 2) {
-        SasBudget_TakeBack(&get_entry(lending, budget)->core, member_id,
-                           back->loan, (int64_t)back->units, SasPeer_GetNow());
+        SasBudget_AcceptReturn(&get_entry(lending, budget)->core, member_id,
+                               back->loan, (int64_t)back->units,
+                               SasPeer_GetNow());
     }
 }
 
--- a/tools/compare_budgets.c
+++ b/tools/compare_budgets.c
@@ -85,21 +85,21 @@
     struct sas_budget *b = &budgets[node];
     const struct sas_loan *loan = SasBudget_FindSurplus(b, now);
     if (loan != NULL) {
-        int lender = loan->seat;
+        int lender = loan->member_id;
         uint64_t id = loan->id;
         int64_t left = SasBudget_Return(b, id, now);
         result->messages++;
         if (!is_cut(node, lender, now)) {
-            SasBudget_TakeBack(&budgets[lender], node, id, left, now);
+            SasBudget_AcceptReturn(&budgets[lender], node, id, left, now);
         }
     }
     loan = SasBudget_FindRenewal(b, now);
     if (loan != NULL) {
         uint32_t renewal = SasBudget_Renew(b, loan->id, now);
         result->messages += 2;
-        if (!is_cut(node, loan->seat, now)) {
-            bool ok = SasBudget_Extend(&budgets[loan->seat], node, loan->id,
-                                       loan->granted, now);
+        if (!is_cut(node, loan->member_id, now)) {
+            bool ok = SasBudget_Extend(&budgets[loan->member_id], node,
+                                       loan->id, loan->granted, now);
             SasBudget_Renewed(b, loan->id, renewal, ok, now);
         }
     }
@@ -137,7 +137,7 @@
     int64_t wanted = (int64_t)(need + sqrt(need) / 2 + 0.5);
     bool reachable =
         now / PHASE_MS == WELL || (now / PHASE_MS == CUT && node / 3 == 0);
-    bool due = l->until_ms - now < SasBudget_LIFE_MS * 2 / 3;
+    bool due = l->until_ms - now < SasBudget_LOAN_MS * 2 / 3;
     if (!reachable || (!due && (l->refused <= 0.5 || wanted <= l->granted))) {
         return;
     }
@@ -148,7 +148,7 @@
     }
     result->writes++;
     l->granted = MIN(MAX(wanted, 1), room);
-    l->until_ms = now + SasBudget_LIFE_MS;
+    l->until_ms = now + SasBudget_LOAN_MS;
 }
 
 static int
@@ -161,7 +161,7 @@
     case SPLIT:
         return used[node] < LIMIT / NODES ? 0 : -1;
     case LOANS:
-        return SasBudget_Take(&budgets[node], 1, DEADLINE_MS, now);
+        return SasBudget_Acquire(&budgets[node], 1, DEADLINE_MS, now);
     default:
         if (now < l->until_ms && used[node] < l->granted) {
             l->taken += 1.0;
@@ -178,8 +178,8 @@
     for (int i = 0; i < running_count; i++) {
         if (running[i].end_ms <= now) {
             if (policy == LOANS) {
-                SasBudget_Give(&budgets[running[i].node], running[i].pot, 1,
-                               now);
+                SasBudget_Release(&budgets[running[i].node], running[i].pot, 1,
+                                  now);
             }
             used[running[i].node]--;
             running[i--] = running[--running_count];
@@ -195,7 +195,7 @@
     SasBudget_Split(LIMIT, weights, NODES, floors);
     for (int i = 0; i < NODES; i++) {
         struct sas_budget_settings settings = {
-            SAS_BUDGET_CONCURRENT, NODES, i, 1, SasBudget_LIFE_MS, 0};
+            SAS_BUDGET_CONCURRENT, NODES, i, 1, SasBudget_LOAN_MS, 0};
         SasBudget_Init(&budgets[i], &settings, floors, 0, 0);
         for (int j = 0; j < NODES; j++) {
             SasBudget_Disowned(&budgets[i], j, 1, 0);
