--- a/packages/core/include/sas/claim.h
+++ b/packages/core/include/sas/claim.h
@@ -35,8 +35,9 @@
 #define SasClaim_ETAG_SIZE 80
 #define SasClaim_MAX_INLINE (64 * 1024) /* bytes; larger bodies: an object */
 #define SasClaim_MAX_INSERTS 3          /* of one attempt */
-#define SasClaim_MAX_REPEATS 10 /* retries to write the outcome or release */
-#define SasClaim_REPEAT_MS 500  /* first backoff of those, doubles */
+/* retries to write the outcome or release */
+#define SasClaim_MAX_WRITE_RETRIES 10
+#define SasClaim_WRITE_RETRY_MS 500 /* first backoff of those, doubles */
 #define SasClaim_RETRY_AFTER_S 2
 
 enum sas_claim_row_state {
@@ -64,11 +65,11 @@
 
 enum sas_claim_event {
     SAS_CLAIM_START,
-    SAS_CLAIM_INSERT_OK,      /* with the new ETag */
-    SAS_CLAIM_INSERT_REFUSED, /* 412: the row is not as expected */
-    SAS_CLAIM_INSERT_LOST,    /* no answer: it may yet take effect */
-    SAS_CLAIM_INSERT_FAILED,  /* store unavailable, not sent */
-    SAS_CLAIM_ROW_FOUND,      /* with row and ETag */
+    SAS_CLAIM_INSERT_OK,          /* with the new ETag */
+    SAS_CLAIM_INSERT_REFUSED,     /* 412: the row is not as expected */
+    SAS_CLAIM_INSERT_UNCONFIRMED, /* no answer: it may yet take effect */
+    SAS_CLAIM_INSERT_FAILED,      /* store unavailable, not sent */
+    SAS_CLAIM_ROW_FOUND,          /* with row and ETag */
     SAS_CLAIM_ROW_ABSENT,
     SAS_CLAIM_READ_FAILED,
     SAS_CLAIM_FIRST_BYTE,   /* reported before the byte is sent */
@@ -81,10 +82,10 @@
     SAS_CLAIM_OBJECT_FAILED,
     SAS_CLAIM_DONE_OK, /* this and the next as for INSERT */
     SAS_CLAIM_DONE_REFUSED,
-    SAS_CLAIM_DONE_LOST,
+    SAS_CLAIM_DONE_UNCONFIRMED,
     SAS_CLAIM_RELEASE_OK,
     SAS_CLAIM_RELEASE_REFUSED,
-    SAS_CLAIM_RELEASE_LOST
+    SAS_CLAIM_RELEASE_UNCONFIRMED
 };
 
 enum sas_claim_action {
@@ -124,10 +125,10 @@
     SAS_CLAIM_NEW,
     SAS_CLAIM_INSERTING,
     SAS_CLAIM_READING,
-    SAS_CLAIM_CLAIMED, /* row held, request not sent */
-    SAS_CLAIM_SENT,    /* the request may have run */
-    SAS_CLAIM_KEEPING, /* writing the outcome */
-    SAS_CLAIM_LEAVING, /* never sends; releases the row if it holds it */
+    SAS_CLAIM_CLAIMED,   /* row held, request not sent */
+    SAS_CLAIM_SENT,      /* the request may have run */
+    SAS_CLAIM_SAVING,    /* writing the outcome */
+    SAS_CLAIM_RELEASING, /* never sends; releases the row if it holds it */
     SAS_CLAIM_FINISHED
 };
 
--- a/packages/core/src/claim.c
+++ b/packages/core/src/claim.c
@@ -120,9 +120,9 @@
         return on_claimed(c, event);
     case SAS_CLAIM_SENT:
         return on_sent(c, event);
-    case SAS_CLAIM_KEEPING:
+    case SAS_CLAIM_SAVING:
         return on_saving(c, event);
-    case SAS_CLAIM_LEAVING:
+    case SAS_CLAIM_RELEASING:
         return on_releasing(c, event, row, etag);
     case SAS_CLAIM_FINISHED:
         break;
@@ -264,7 +264,7 @@
 static struct sas_claim_step
 release(struct sas_claim *c, enum sas_claim_answer answer)
 {
-    c->state = SAS_CLAIM_LEAVING;
+    c->state = SAS_CLAIM_RELEASING;
     c->row.state = SAS_CLAIM_RELEASED;
     return step(c, SAS_CLAIM_RELEASE, answer);
 }
@@ -273,11 +273,11 @@
 retry_action(struct sas_claim *c, enum sas_claim_action action,
              enum sas_claim_answer answer)
 {
-    if (c->write_retries >= SasClaim_MAX_REPEATS) {
+    if (c->write_retries >= SasClaim_MAX_WRITE_RETRIES) {
         return finish(c, answer);
     }
     struct sas_claim_step next = step(c, action, answer);
-    next.pause_ms = (int64_t)SasClaim_REPEAT_MS << c->write_retries;
+    next.pause_ms = (int64_t)SasClaim_WRITE_RETRY_MS << c->write_retries;
     c->write_retries++;
     return next;
 }
@@ -303,7 +303,7 @@
         c->state = SAS_CLAIM_CLAIMED;
         return step(c, SAS_CLAIM_SEND, SAS_CLAIM_NO_ANSWER);
     case SAS_CLAIM_INSERT_REFUSED:
-    case SAS_CLAIM_INSERT_LOST:
+    case SAS_CLAIM_INSERT_UNCONFIRMED:
         c->state = SAS_CLAIM_READING;
         return step(c, SAS_CLAIM_READ, SAS_CLAIM_NO_ANSWER);
     case SAS_CLAIM_INSERT_FAILED:
@@ -407,7 +407,7 @@
         c->state = SAS_CLAIM_CLAIMED;
         return step(c, SAS_CLAIM_SEND, SAS_CLAIM_NO_ANSWER);
     case SAS_CLAIM_ANSWER_WHOLE:
-        c->state = SAS_CLAIM_KEEPING;
+        c->state = SAS_CLAIM_SAVING;
         c->row.state = SAS_CLAIM_DONE;
         /* The answer is stored before it goes to the caller, so that a caller
          * that resends gets the same one. */
@@ -444,7 +444,7 @@
         /* Refused: an earlier write of ours took effect, as only the holder
          * changes a held row. */
         return finish(c, SAS_CLAIM_PASS);
-    case SAS_CLAIM_DONE_LOST:
+    case SAS_CLAIM_DONE_UNCONFIRMED:
         /* The caller is answered without waiting for the retries. */
         return retry_action(c, SAS_CLAIM_WRITE_DONE, SAS_CLAIM_PASS);
     case SAS_CLAIM_CALLER_GONE:
@@ -462,7 +462,7 @@
     switch (event) {
     case SAS_CLAIM_RELEASE_OK:
         return finish(c, SAS_CLAIM_NO_ANSWER);
-    case SAS_CLAIM_RELEASE_LOST:
+    case SAS_CLAIM_RELEASE_UNCONFIRMED:
         return retry_action(c, SAS_CLAIM_RELEASE, SAS_CLAIM_NO_ANSWER);
     case SAS_CLAIM_RELEASE_REFUSED:
     case SAS_CLAIM_READ_FAILED:
--- a/packages/core/tests/test_claim.c
+++ b/packages/core/tests/test_claim.c
@@ -92,7 +92,7 @@
     (void)state;
     struct sas_claim c;
     start(&c, "t1");
-    SasClaim_Handle(&c, SAS_CLAIM_INSERT_LOST, NULL, NULL);
+    SasClaim_Handle(&c, SAS_CLAIM_INSERT_UNCONFIRMED, NULL, NULL);
     struct sas_claim_step next =
         SasClaim_Handle(&c, SAS_CLAIM_ROW_ABSENT, NULL, NULL);
     assert_int_equal(next.action, SAS_CLAIM_INSERT);
--- a/packages/node/src/claims.c
+++ b/packages/node/src/claims.c
@@ -337,18 +337,18 @@
         }
         return ok        ? SAS_CLAIM_INSERT_OK
                : refused ? SAS_CLAIM_INSERT_REFUSED
-                         : SAS_CLAIM_INSERT_LOST;
+                         : SAS_CLAIM_INSERT_UNCONFIRMED;
     case SAS_CLAIM_WRITE_OBJECT:
         /* Refused: the object exists, written by this attempt before. */
         return ok || refused ? SAS_CLAIM_OBJECT_OK : SAS_CLAIM_OBJECT_FAILED;
     case SAS_CLAIM_WRITE_DONE:
         return ok        ? SAS_CLAIM_DONE_OK
                : refused ? SAS_CLAIM_DONE_REFUSED
-                         : SAS_CLAIM_DONE_LOST;
+                         : SAS_CLAIM_DONE_UNCONFIRMED;
     default:
         return ok        ? SAS_CLAIM_RELEASE_OK
                : refused ? SAS_CLAIM_RELEASE_REFUSED
-                         : SAS_CLAIM_RELEASE_LOST;
+                         : SAS_CLAIM_RELEASE_UNCONFIRMED;
     }
 }
 
