--- a/packages/core/include/sas/retry.h
+++ b/packages/core/include/sas/retry.h
@@ -15,7 +15,7 @@
 #include <stdint.h>
 #include <glib.h>
 
-#define SasRetry_MAX_TRIES 3      /* attempts, including the first */
+#define SasRetry_MAX_ATTEMPTS 3   /* attempts, including the first */
 #define SasRetry_SHARE_PERCENT 10 /* of the recent first attempts */
 #define SasRetry_MIN_RETRIES 3    /* in a window, at any request rate */
 #define SasRetry_WINDOW_MS 10000  /* counts halve in half of this time */
@@ -24,7 +24,7 @@
 enum sas_retry_reason { /* why the previous attempt failed */
     SAS_RETRY_CONNECT,  /* the connection failed */
     SAS_RETRY_SHED,     /* the backend server refused it, not run */
-    SAS_RETRY_CUT,      /* the connection was reset during the request */
+    SAS_RETRY_RESET,    /* the connection was reset during the request */
     SAS_RETRY_STALL,    /* the connection stalled */
     SAS_RETRY_REASONS
 };
@@ -35,23 +35,23 @@
     SAS_RETRY_UNKNOWN
 };
 
-enum sas_retry_verdict {
+enum sas_retry_decision {
     SAS_RETRY_YES,
     SAS_RETRY_NO_REPEAT,   /* it may have run and is not idempotent */
     SAS_RETRY_NO_DEADLINE, /* no time left */
-    SAS_RETRY_NO_TRIES,    /* no attempts left */
+    SAS_RETRY_NO_ATTEMPTS, /* no attempts left */
     SAS_RETRY_NO_BACKEND,  /* each has been tried */
     SAS_RETRY_NO_BUDGET,   /* retry budget exhausted */
-    SAS_RETRY_VERDICTS
+    SAS_RETRY_DECISIONS
 };
 
 struct sas_retry {
-    int share_percent;   /* SasRetry_SHARE_PERCENT unless the caller sets it */
-    int64_t decayed_ms;  /* up to then the counts have decayed */
-    int64_t first_tries; /* decaying count, in thousandths */
-    int64_t retries;     /* decaying count, in thousandths */
-    uint64_t verdicts[SAS_RETRY_VERDICTS]; /* counters */
-    uint64_t reasons[SAS_RETRY_REASONS];   /* of the retries granted */
+    int share_percent;  /* SasRetry_SHARE_PERCENT unless the caller sets it */
+    int64_t decayed_ms; /* up to then the counts have decayed */
+    int64_t first_attempts; /* decaying count, in thousandths */
+    int64_t retries;        /* decaying count, in thousandths */
+    uint64_t decisions[SAS_RETRY_DECISIONS]; /* counters */
+    uint64_t reasons[SAS_RETRY_REASONS];     /* of the retries granted */
 };
 
 void SasRetry_Init(struct sas_retry *r, int64_t now_ms);
@@ -62,11 +62,11 @@
 /* Decides on a retry; SAS_RETRY_YES acquires one from the budget. tried lists
  * the backend server of each attempt so far, candidates those that could run
  * the request. */
-enum sas_retry_verdict
-SasRetry_MayRetry(struct sas_retry *r, enum sas_retry_reason reason,
-                  bool idempotent, enum sas_retry_outcome outcome,
-                  int64_t deadline_left_ms, const int *tried, int tried_count,
-                  const int *candidates, int candidate_count, int64_t now_ms);
+enum sas_retry_decision
+SasRetry_Decide(struct sas_retry *r, enum sas_retry_reason reason,
+                bool idempotent, enum sas_retry_outcome outcome,
+                int64_t deadline_left_ms, const int *tried, int tried_count,
+                const int *candidates, int candidate_count, int64_t now_ms);
 
 /* True when the backend server is in the list. */
 bool SasRetry_WasTried(const int *tried, int tried_count, int backend);
@@ -76,7 +76,7 @@
 int SasRetry_ChooseRetryAfter(int base_s, GRand *rand);
 
 /* Counter labels, such as "no-budget" and "shed". */
-const char *SasRetry_GetVerdictName(enum sas_retry_verdict decision);
+const char *SasRetry_GetDecisionName(enum sas_retry_decision decision);
 const char *SasRetry_GetReasonName(enum sas_retry_reason reason);
 
 #endif
--- a/packages/core/src/retry.c
+++ b/packages/core/src/retry.c
@@ -4,7 +4,7 @@
 
 #define ONE 1000 /* one attempt, in thousandths */
 
-static const char *const DECISIONS[SAS_RETRY_VERDICTS] = {
+static const char *const DECISIONS[SAS_RETRY_DECISIONS] = {
     "yes", "no-repeat", "no-deadline", "no-tries", "no-backend", "no-budget",
 };
 
@@ -16,7 +16,7 @@
 };
 
 static void decay(struct sas_retry *r, int64_t now_ms);
-static enum sas_retry_verdict
+static enum sas_retry_decision
 decide(const struct sas_retry *r, bool idempotent,
        enum sas_retry_outcome outcome, int64_t deadline_left_ms,
        const int *tried, int tried_count, const int *candidates,
@@ -36,20 +36,20 @@
 SasRetry_NoteFirst(struct sas_retry *r, int64_t now_ms)
 {
     decay(r, now_ms);
-    r->first_tries += ONE;
+    r->first_attempts += ONE;
 }
 
-enum sas_retry_verdict
-SasRetry_MayRetry(struct sas_retry *r, enum sas_retry_reason reason,
-                  bool idempotent, enum sas_retry_outcome outcome,
-                  int64_t deadline_left_ms, const int *tried, int tried_count,
-                  const int *candidates, int candidate_count, int64_t now_ms)
+enum sas_retry_decision
+SasRetry_Decide(struct sas_retry *r, enum sas_retry_reason reason,
+                bool idempotent, enum sas_retry_outcome outcome,
+                int64_t deadline_left_ms, const int *tried, int tried_count,
+                const int *candidates, int candidate_count, int64_t now_ms)
 {
     decay(r, now_ms);
-    enum sas_retry_verdict decision =
+    enum sas_retry_decision decision =
         decide(r, idempotent, outcome, deadline_left_ms, tried, tried_count,
                candidates, candidate_count);
-    r->verdicts[decision]++;
+    r->decisions[decision]++;
     if (decision == SAS_RETRY_YES) {
         r->retries += ONE;
         r->reasons[reason]++;
@@ -76,7 +76,7 @@
 }
 
 const char *
-SasRetry_GetVerdictName(enum sas_retry_verdict decision)
+SasRetry_GetDecisionName(enum sas_retry_decision decision)
 {
     return DECISIONS[decision];
 }
@@ -95,8 +95,8 @@
 {
     int64_t half_life = SasRetry_WINDOW_MS / 2;
     while (now_ms - r->decayed_ms >= half_life &&
-           r->first_tries + r->retries > 0) {
-        r->first_tries /= 2;
+           r->first_attempts + r->retries > 0) {
+        r->first_attempts /= 2;
         r->retries /= 2;
         r->decayed_ms += half_life;
     }
@@ -105,7 +105,7 @@
     }
 }
 
-static enum sas_retry_verdict
+static enum sas_retry_decision
 decide(const struct sas_retry *r, bool idempotent,
        enum sas_retry_outcome outcome, int64_t deadline_left_ms,
        const int *tried, int tried_count, const int *candidates,
@@ -117,13 +117,13 @@
     if (deadline_left_ms < SasRetry_MIN_LEFT_MS) {
         return SAS_RETRY_NO_DEADLINE;
     }
-    if (tried_count >= SasRetry_MAX_TRIES) {
-        return SAS_RETRY_NO_TRIES;
+    if (tried_count >= SasRetry_MAX_ATTEMPTS) {
+        return SAS_RETRY_NO_ATTEMPTS;
     }
     if (!has_untried(tried, tried_count, candidates, candidate_count)) {
         return SAS_RETRY_NO_BACKEND;
     }
-    int64_t allowed = MAX(r->first_tries * r->share_percent / 100,
+    int64_t allowed = MAX(r->first_attempts * r->share_percent / 100,
                           (int64_t)SasRetry_MIN_RETRIES * ONE);
     return r->retries + ONE <= allowed ? SAS_RETRY_YES : SAS_RETRY_NO_BUDGET;
 }
--- a/packages/core/tests/property_retry.py
+++ b/packages/core/tests/property_retry.py
@@ -9,7 +9,7 @@
 lib = load()
 init = declare(lib, None, "SasRetry_Init", PTR, I64)
 note_first = declare(lib, None, "SasRetry_NoteFirst", PTR, I64)
-may_retry = declare(lib, INT, "SasRetry_MayRetry", PTR, INT, BOOL, INT, I64,
+may_retry = declare(lib, INT, "SasRetry_Decide", PTR, INT, BOOL, INT, I64,
                     PTR, INT, PTR, INT, I64)
 YES, NO_REPEAT, NO_DEADLINE, NO_TRIES, NO_BACKEND, NO_BUDGET = range(6)
 NOT_RUN = 0
--- a/packages/core/tests/test_retry.c
+++ b/packages/core/tests/test_retry.c
@@ -7,12 +7,12 @@
 
 static const int servers[] = {4, 5, 6, 7};
 
-static enum sas_retry_verdict
+static enum sas_retry_decision
 decide(struct sas_retry *r, bool idempotent, enum sas_retry_outcome outcome,
        int64_t left_ms, int tried)
 {
-    return SasRetry_MayRetry(r, SAS_RETRY_SHED, idempotent, outcome, left_ms,
-                             servers, tried, servers, 4, 0);
+    return SasRetry_Decide(r, SAS_RETRY_SHED, idempotent, outcome, left_ms,
+                           servers, tried, servers, 4, 0);
 }
 
 static void
@@ -26,10 +26,10 @@
     assert_int_equal(decide(&r, true, SAS_RETRY_UNKNOWN, 0, 1),
                      SAS_RETRY_NO_DEADLINE);
     assert_int_equal(decide(&r, true, SAS_RETRY_UNKNOWN, 1000, 3),
-                     SAS_RETRY_NO_TRIES);
-    assert_int_equal(SasRetry_MayRetry(&r, SAS_RETRY_CUT, true,
-                                       SAS_RETRY_NOT_RUN, 1000, servers, 2,
-                                       servers, 2, 0),
+                     SAS_RETRY_NO_ATTEMPTS);
+    assert_int_equal(SasRetry_Decide(&r, SAS_RETRY_RESET, true,
+                                     SAS_RETRY_NOT_RUN, 1000, servers, 2,
+                                     servers, 2, 0),
                      SAS_RETRY_NO_BACKEND);
     assert_int_equal(decide(&r, false, SAS_RETRY_NOT_RUN, 1000, 1),
                      SAS_RETRY_YES);
@@ -38,9 +38,9 @@
     assert_int_equal(decide(&r, true, SAS_RETRY_RAN, 1000, 1), SAS_RETRY_YES);
     assert_int_equal(decide(&r, true, SAS_RETRY_NOT_RUN, 1000, 1),
                      SAS_RETRY_NO_BUDGET);
-    assert_int_equal(r.verdicts[SAS_RETRY_YES], 3);
+    assert_int_equal(r.decisions[SAS_RETRY_YES], 3);
     assert_int_equal(r.reasons[SAS_RETRY_SHED], 3);
-    assert_string_equal(SasRetry_GetVerdictName(SAS_RETRY_NO_BUDGET),
+    assert_string_equal(SasRetry_GetDecisionName(SAS_RETRY_NO_BUDGET),
                         "no-budget");
     assert_string_equal(SasRetry_GetReasonName(SAS_RETRY_STALL), "stall");
 }
@@ -57,9 +57,9 @@
     SasRetry_Init(&r, 0);
     for (int64_t now = 0; now < 60000; now += 10) {
         SasRetry_NoteFirst(&r, now);
-        granted += SasRetry_MayRetry(&r, SAS_RETRY_SHED, true,
-                                     SAS_RETRY_NOT_RUN, 1000, servers, 1,
-                                     servers, 4, now) == SAS_RETRY_YES;
+        granted +=
+            SasRetry_Decide(&r, SAS_RETRY_SHED, true, SAS_RETRY_NOT_RUN, 1000,
+                            servers, 1, servers, 4, now) == SAS_RETRY_YES;
     }
     print_message("%d retries for 6000 first attempts\n", granted);
     assert_true(granted >= 500);
--- a/packages/node/src/forward_attempt.c
+++ b/packages/node/src/forward_attempt.c
@@ -224,14 +224,14 @@
     int service = call->request.service;
     int64_t now = (int64_t)uv_now(forward->options.loop);
     int start = forward->candidate_starts[service];
-    enum sas_retry_verdict decision =
-        SasRetry_MayRetry(&forward->retries[service], reason, call->idempotent,
-                          may_have_run ? SAS_RETRY_UNKNOWN : SAS_RETRY_NOT_RUN,
-                          call->deadline_at - now, call->query.tried,
-                          call->query.tried_count, forward->candidates + start,
-                          forward->candidate_starts[service + 1] - start, now);
+    enum sas_retry_decision decision =
+        SasRetry_Decide(&forward->retries[service], reason, call->idempotent,
+                        may_have_run ? SAS_RETRY_UNKNOWN : SAS_RETRY_NOT_RUN,
+                        call->deadline_at - now, call->query.tried,
+                        call->query.tried_count, forward->candidates + start,
+                        forward->candidate_starts[service + 1] - start, now);
     bool granted =
-        decision == SAS_RETRY_YES && call->attempts < SasRetry_MAX_TRIES;
+        decision == SAS_RETRY_YES && call->attempts < SasRetry_MAX_ATTEMPTS;
     SasMetrics_Add(counters->metrics,
                    granted ? counters->retries[reason]
                            : counters->retries_denied[decision],
@@ -256,7 +256,7 @@
     call->may_have_run |= may_have_run;
     /* What broke this connection may have broken idle ones to other servers
      * too. */
-    call->needs_new_connection |= why == SAS_RETRY_CUT;
+    call->needs_new_connection |= why == SAS_RETRY_RESET;
     note_tried(call);
     g_string_truncate(call->buffered, 0);
     g_array_set_size(call->answer_headers, 0);
@@ -411,11 +411,11 @@
                               SasForwardCall_RETRY_AFTER_S);
     }
     else if (failure->begun) {
-        retry_or_refuse(call, SAS_RETRY_CUT, SAS_REFUSE_ANSWER_CUT,
+        retry_or_refuse(call, SAS_RETRY_RESET, SAS_REFUSE_ANSWER_CUT,
                         SAS_OUTCOME_UNKNOWN);
     }
     else {
-        retry_or_refuse(call, SAS_RETRY_CUT, SAS_REFUSE_LOST,
+        retry_or_refuse(call, SAS_RETRY_RESET, SAS_REFUSE_LOST,
                         SAS_OUTCOME_UNKNOWN);
     }
 }
--- a/packages/node/src/refusal.c
+++ b/packages/node/src/refusal.c
@@ -89,10 +89,10 @@
             SasRetry_GetReasonName((enum sas_retry_reason)i),
             "Requests tried again, by reason");
     }
-    for (int i = SAS_RETRY_YES + 1; i < SAS_RETRY_VERDICTS; i++) {
+    for (int i = SAS_RETRY_YES + 1; i < SAS_RETRY_DECISIONS; i++) {
         counters->retries_denied[i] = SasMetrics_Register(
             metrics, "sas_retries_denied_total", "reason",
-            SasRetry_GetVerdictName((enum sas_retry_verdict)i),
+            SasRetry_GetDecisionName((enum sas_retry_decision)i),
             "Failed tries that were not repeated, by reason");
     }
     counters->connections_ended =
--- a/packages/node/src/refusal.h
+++ b/packages/node/src/refusal.h
@@ -58,7 +58,7 @@
     int answers;
     int lookups;
     int retries[SAS_RETRY_REASONS];
-    int retries_denied[SAS_RETRY_VERDICTS];
+    int retries_denied[SAS_RETRY_DECISIONS];
     int connections_ended;
     int closed_stale;
     int cross_region;
