--- a/packages/core/include/sas/plan.h
+++ b/packages/core/include/sas/plan.h
@@ -101,9 +101,9 @@
     int64_t accepted_ms;
     struct sas_shift *shifts;
     int shift_count;
-    struct sas_intention *rows; /* by service, from, to, then time */
+    struct sas_sheet_row *rows; /* by service, from, to, then time */
     int row_count;
-    struct sas_intention *drains; /* by time */
+    struct sas_sheet_row *drains; /* by time */
     int drain_count;
     bool started;
     bool fresh;             /* first version, not advanced yet */
--- a/packages/core/include/sas/sheet.h
+++ b/packages/core/include/sas/sheet.h
@@ -42,7 +42,7 @@
 };
 
 /* One row: a shift, or a drain (with service, from and to SasModel_NONE). */
-struct sas_intention {
+struct sas_sheet_row {
     int64_t at_ms;
     int service;
     int from;
@@ -59,7 +59,7 @@
 };
 
 struct sas_sheet {
-    struct sas_intention *rows;
+    struct sas_sheet_row *rows;
     int row_count;
 };
 
--- a/packages/core/src/config.c
+++ b/packages/core/src/config.c
@@ -15,12 +15,12 @@
 #define WRITE_FLAGS (JSON_COMPACT | JSON_REAL_PRECISION(15))
 #define READ_FLAGS JSON_REJECT_DUPLICATES
 
-static json_t *encode_row(const struct sas_intention *row,
+static json_t *encode_row(const struct sas_sheet_row *row,
                           const struct sas_model *model);
 static json_t *encode_rows(const struct sas_config *config,
                            const struct sas_model *model);
 static int decode_row(json_t *json, const struct sas_model *model,
-                      struct sas_intention *row, struct sas_error *error);
+                      struct sas_sheet_row *row, struct sas_error *error);
 static struct sas_config *decode_config(json_t *json,
                                         const struct sas_model *model,
                                         struct sas_error *error);
@@ -98,11 +98,11 @@
 /* Fills *sheet with base's rows and one more, after those of the same time. */
 static void
 insert_row(struct sas_sheet *sheet, const struct sas_sheet *base,
-           const struct sas_intention *row)
+           const struct sas_sheet_row *row)
 {
     int next = 0;
     sheet->row_count = base->row_count + 1;
-    sheet->rows = g_new(struct sas_intention, sheet->row_count);
+    sheet->rows = g_new(struct sas_sheet_row, sheet->row_count);
     for (int i = 0; i < base->row_count; i++) {
         if (next == i && base->rows[i].at_ms > row->at_ms) {
             sheet->rows[next++] = *row;
@@ -328,7 +328,7 @@
 /* Encoding and decoding of rows. */
 
 static const char *
-get_drain_name(const struct sas_intention *row, const struct sas_model *model)
+get_drain_name(const struct sas_sheet_row *row, const struct sas_model *model)
 {
     switch (row->drain_kind) {
     case SAS_DRAIN_BACKEND:
@@ -342,7 +342,7 @@
 }
 
 static json_t *
-encode_row(const struct sas_intention *row, const struct sas_model *model)
+encode_row(const struct sas_sheet_row *row, const struct sas_model *model)
 {
     bool shift = row->drain_kind == SAS_DRAIN_NONE;
     return json_pack(
@@ -377,7 +377,7 @@
 };
 
 static int
-unpack_row(json_t *json, struct sas_intention *row, struct row_names *names)
+unpack_row(json_t *json, struct sas_sheet_row *row, struct row_names *names)
 {
     json_int_t at_ms = 0;
     json_int_t ramp_s = 0;
@@ -404,7 +404,7 @@
 /* Checks and rounds share, headroom and cap. A cap needs a unit and a unit
  * needs a cap. */
 static int
-check_numbers(struct sas_intention *row)
+check_numbers(struct sas_sheet_row *row)
 {
     if (!(row->share >= 0 && row->share <= 1) ||
         !(row->headroom >= 0 && row->headroom <= 1) ||
@@ -418,7 +418,7 @@
 }
 
 static int
-resolve_drain(struct sas_intention *row, const struct row_names *names,
+resolve_drain(struct sas_sheet_row *row, const struct row_names *names,
               const struct sas_model *model)
 {
     int backend = SasModel_FindBackend(model, names->drain);
@@ -438,7 +438,7 @@
 }
 
 static int
-resolve_shift(struct sas_intention *row, const struct row_names *names,
+resolve_shift(struct sas_sheet_row *row, const struct row_names *names,
               const struct sas_model *model)
 {
     row->service = SasModel_FindService(model, names->service);
@@ -454,7 +454,7 @@
 
 static int
 decode_row(json_t *json, const struct sas_model *model,
-           struct sas_intention *row, struct sas_error *error)
+           struct sas_sheet_row *row, struct sas_error *error)
 {
     struct row_names names;
     memset(row, 0, sizeof(*row));
@@ -493,7 +493,7 @@
                      "rows is not an array or has too many items");
         return -1;
     }
-    sheet->rows = g_new0(struct sas_intention, count + 1);
+    sheet->rows = g_new0(struct sas_sheet_row, count + 1);
     sheet->row_count = (int)count;
     for (size_t i = 0; i < count; i++) {
         if (decode_row(json_array_get(json, i), model, &sheet->rows[i],
--- a/packages/core/src/plan.c
+++ b/packages/core/src/plan.c
@@ -23,7 +23,7 @@
                       int to);
 static bool is_shift_from(const struct sas_plan *plan, int i, int service,
                           int from);
-static double ramp_up(const struct sas_intention *rows, int active_row,
+static double ramp_up(const struct sas_sheet_row *rows, int active_row,
                       double share, double time_ms, double limit);
 static double get_scheduled_share(const struct sas_plan *plan,
                                   const struct sas_shift *shift);
@@ -231,7 +231,7 @@
 {
     int64_t now_ms = MAX(plan->clock_ms, plan->wall_ms);
     for (int i = 0; plan->started && i < plan->drain_count; i++) {
-        const struct sas_intention *row = &plan->drains[i];
+        const struct sas_sheet_row *row = &plan->drains[i];
         if (row->at_ms > now_ms) {
             break;
         }
@@ -296,8 +296,8 @@
 compare_rows(const void *left, const void *right, void *data)
 {
     (void)data;
-    const struct sas_intention *a = left;
-    const struct sas_intention *b = right;
+    const struct sas_sheet_row *a = left;
+    const struct sas_sheet_row *b = right;
     if (a->service != b->service) {
         return a->service < b->service ? -1 : 1;
     }
@@ -314,8 +314,8 @@
 copy_rows(struct sas_plan *plan, const struct sas_config *config)
 {
     const struct sas_sheet *sheet = &config->sheet;
-    plan->rows = g_new0(struct sas_intention, sheet->row_count + 1);
-    plan->drains = g_new0(struct sas_intention, sheet->row_count + 1);
+    plan->rows = g_new0(struct sas_sheet_row, sheet->row_count + 1);
+    plan->drains = g_new0(struct sas_sheet_row, sheet->row_count + 1);
     for (int i = 0; i < sheet->row_count; i++) {
         if (sheet->rows[i].drain_kind == SAS_DRAIN_NONE) {
             plan->rows[plan->row_count++] = sheet->rows[i];
@@ -329,7 +329,7 @@
 }
 
 static bool
-is_same_shift(const struct sas_intention *a, const struct sas_intention *b)
+is_same_shift(const struct sas_sheet_row *a, const struct sas_sheet_row *b)
 {
     return a->service == b->service && a->from == b->from && a->to == b->to;
 }
@@ -339,7 +339,7 @@
 {
     plan->shifts = g_new0(struct sas_shift, plan->row_count + 1);
     for (int i = 0; i < plan->row_count; i++) {
-        const struct sas_intention *row = &plan->rows[i];
+        const struct sas_sheet_row *row = &plan->rows[i];
         if (i > 0 && is_same_shift(row, row - 1)) {
             plan->shifts[plan->shift_count - 1].row_count++;
             continue;
@@ -374,7 +374,7 @@
         shift->holding = previous->holding;
         shift->returning = previous->returning;
         if (previous->active != SasModel_NONE) {
-            const struct sas_intention *row =
+            const struct sas_sheet_row *row =
                 &old->rows[previous->first_row + previous->active];
             shift->carried_at_ms = row->at_ms;
             shift->carried_share = row->share;
@@ -432,7 +432,7 @@
 
 /* The share at which row i's ramp starts: that of the row before it. */
 static double
-get_ramp_start(const struct sas_intention *rows, int i)
+get_ramp_start(const struct sas_sheet_row *rows, int i)
 {
     return i > 0 ? rows[i - 1].share : 0;
 }
@@ -441,7 +441,7 @@
  * determines how fast the share may rise there. Every share below that of the
  * active row is covered, since the ramps together lead from 0 to it. */
 static int
-find_ramp_row(const struct sas_intention *rows, int active_row, double share)
+find_ramp_row(const struct sas_sheet_row *rows, int active_row, double share)
 {
     for (int i = active_row; i >= 0; i--) {
         if (get_ramp_start(rows, i) <= share && share < rows[i].share) {
@@ -454,7 +454,7 @@
 /* The share after rising for time_ms at the rates of the ramps, at most the
  * limit. */
 static double
-ramp_up(const struct sas_intention *rows, int active_row, double share,
+ramp_up(const struct sas_sheet_row *rows, int active_row, double share,
         double time_ms, double limit)
 {
     while (share < limit) {
@@ -483,7 +483,7 @@
  * would have no row until the clock catches up: its callers would go home, and
  * those above home's capacity would spill over without a cap. */
 static bool
-is_due(const struct sas_plan *plan, const struct sas_intention *row)
+is_due(const struct sas_plan *plan, const struct sas_sheet_row *row)
 {
     int64_t ahead_ms = plan->accepted_ms - plan->clock_ms;
     return row->at_ms <= plan->clock_ms ||
@@ -491,7 +491,7 @@
 }
 
 static int64_t
-get_time_since(const struct sas_plan *plan, const struct sas_intention *row)
+get_time_since(const struct sas_plan *plan, const struct sas_sheet_row *row)
 {
     return MAX(plan->clock_ms - row->at_ms, 0);
 }
@@ -499,8 +499,8 @@
 static double
 get_scheduled_share(const struct sas_plan *plan, const struct sas_shift *shift)
 {
-    const struct sas_intention *rows = plan->rows + shift->first_row;
-    const struct sas_intention *row = &rows[shift->active];
+    const struct sas_sheet_row *rows = plan->rows + shift->first_row;
+    const struct sas_sheet_row *row = &rows[shift->active];
     return ramp_up(rows, shift->active, shift->start_level,
                    get_time_since(plan, row), row->share);
 }
@@ -511,10 +511,10 @@
 static void
 activate_rows(const struct sas_plan *plan, struct sas_shift *shift, bool fresh)
 {
-    const struct sas_intention *rows = plan->rows + shift->first_row;
+    const struct sas_sheet_row *rows = plan->rows + shift->first_row;
     int next = shift->active + 1;
     for (; next < shift->row_count && is_due(plan, &rows[next]); next++) {
-        const struct sas_intention *row = &rows[next];
+        const struct sas_sheet_row *row = &rows[next];
         double share = 0;
         if (next > 0) {
             share = ramp_up(rows, next - 1, shift->start_level,
@@ -551,8 +551,8 @@
 static double
 get_limit(const struct sas_plan *plan, struct sas_shift *shift)
 {
-    const struct sas_intention *rows = plan->rows + shift->first_row;
-    const struct sas_intention *row = &rows[shift->active];
+    const struct sas_sheet_row *rows = plan->rows + shift->first_row;
+    const struct sas_sheet_row *row = &rows[shift->active];
     double limit = get_scheduled_share(plan, shift);
     if (shift->flowing_ms < row->warm_ms) {
         double base = fmin(get_ramp_start(rows, shift->active), row->share);
@@ -569,8 +569,8 @@
 raise_share(const struct sas_plan *plan, struct sas_shift *shift,
             int64_t elapsed_ms)
 {
-    const struct sas_intention *rows = plan->rows + shift->first_row;
-    const struct sas_intention *row = &rows[shift->active];
+    const struct sas_sheet_row *rows = plan->rows + shift->first_row;
+    const struct sas_sheet_row *row = &rows[shift->active];
     int cell = shift->service * plan->model->region_count + shift->to;
     shift->holding = find_hold(plan->headroom[cell], row->headroom);
     if (shift->holding != SAS_HOLD_NONE) {
@@ -597,7 +597,7 @@
         shift->in_force = 0;
         return before != 0;
     }
-    const struct sas_intention *row =
+    const struct sas_sheet_row *row =
         &plan->rows[shift->first_row + shift->active];
     shift->ordered = row->share;
     shift->cap = row->cap;
--- a/packages/core/src/plan_capacity.c
+++ b/packages/core/src/plan_capacity.c
@@ -7,7 +7,7 @@
 struct capacity_check {
     const struct sas_model *model;
     const struct sas_demand *demand;
-    const struct sas_intention **rows_in_force; /* [(service, from, to)] */
+    const struct sas_sheet_row **rows_in_force; /* [(service, from, to)] */
     int *slots;   /* [service, region], less drained servers */
     int *drained; /* by backend server; 0 or 1 */
     struct sas_sheet_error *place;
@@ -15,7 +15,7 @@
 };
 
 static int
-refuse(const struct capacity_check *check, const struct sas_intention *row,
+refuse(const struct capacity_check *check, const struct sas_sheet_row *row,
        const char *column, const char *reason)
 {
     if (check->place != NULL) {
@@ -41,7 +41,7 @@
  * of the demand and its cap in that unit, or whichever is known; NAN when
  * neither is. */
 static double
-get_shift_load(const struct sas_intention *row, double demand,
+get_shift_load(const struct sas_sheet_row *row, double demand,
                enum sas_cap_unit unit)
 {
     double share = row->share * demand;
@@ -52,7 +52,7 @@
     return isnan(share) ? cap : isnan(cap) ? share : fmin(share, cap);
 }
 
-static const struct sas_intention *
+static const struct sas_sheet_row *
 get_row_in_force(const struct capacity_check *check, int service, int from,
                  int to)
 {
@@ -68,9 +68,9 @@
     double remaining = 1;
     double sum = 0;
     for (int other = 0; other < check->model->region_count; other++) {
-        const struct sas_intention *in =
+        const struct sas_sheet_row *in =
             get_row_in_force(check, service, other, region);
-        const struct sas_intention *out =
+        const struct sas_sheet_row *out =
             get_row_in_force(check, service, region, other);
         if (in != NULL) {
             double demand = get_demand(check, service, other).concurrent;
@@ -87,7 +87,7 @@
 {
     double sum = 0;
     for (int service = 0; service < check->model->service_count; service++) {
-        const struct sas_intention *row =
+        const struct sas_sheet_row *row =
             get_row_in_force(check, service, from, to);
         if (row != NULL) {
             double demand = get_demand(check, service, from).mbit_per_s;
@@ -100,7 +100,7 @@
 
 static int
 check_shift(const struct capacity_check *check,
-            const struct sas_intention *row)
+            const struct sas_sheet_row *row)
 {
     const struct sas_model *model = check->model;
     int slots = check->slots[row->service * model->region_count + row->to];
@@ -136,7 +136,7 @@
 }
 
 static void
-apply_row(struct capacity_check *check, const struct sas_intention *row)
+apply_row(struct capacity_check *check, const struct sas_sheet_row *row)
 {
     const struct sas_model *model = check->model;
     int regions = model->region_count;
@@ -157,7 +157,7 @@
  * in earlier rows. The error then names the drain. */
 static int
 check_drain(const struct capacity_check *check,
-            const struct sas_intention *row)
+            const struct sas_sheet_row *row)
 {
     int regions = check->model->region_count;
     int cells = check->model->service_count * regions * regions;
@@ -170,7 +170,7 @@
             "leaves the region too few execution slots for its callers");
     }
     for (int cell = 0; cell < cells; cell++) {
-        const struct sas_intention *shift = check->rows_in_force[cell];
+        const struct sas_sheet_row *shift = check->rows_in_force[cell];
         if (shift != NULL && check_shift(check, shift) < 0) {
             return refuse(check, row, "drain",
                           "leaves too little capacity for a shift in force");
@@ -184,7 +184,7 @@
            int first, int next)
 {
     for (int i = first; i < next; i++) {
-        const struct sas_intention *row = &sheet->rows[i];
+        const struct sas_sheet_row *row = &sheet->rows[i];
         int rc = 0;
         if (row->drain_kind == SAS_DRAIN_NONE) {
             rc = check_shift(check, row);
@@ -217,8 +217,8 @@
                       struct sas_sheet_error *place, struct sas_error *error)
 {
     size_t cells = (size_t)model->service_count * model->region_count;
-    g_autofree const struct sas_intention **rows_in_force =
-        g_new0(const struct sas_intention *, cells * model->region_count + 1);
+    g_autofree const struct sas_sheet_row **rows_in_force =
+        g_new0(const struct sas_sheet_row *, cells * model->region_count + 1);
     g_autofree int *slots = g_new0(int, cells + 1);
     g_autofree int *drained = g_new0(int, model->backend_count + 1);
     struct capacity_check check = {.model = model,
--- a/packages/core/src/sheet.c
+++ b/packages/core/src/sheet.c
@@ -42,7 +42,7 @@
     int row;
     int column;
     char fields[COLUMN_COUNT][FIELD_SIZE];
-    GArray *rows; /* of struct sas_intention */
+    GArray *rows; /* of struct sas_sheet_row */
 };
 
 static void on_field(void *text, size_t size, void *data);
@@ -114,13 +114,13 @@
                             .now_ms = now_ms,
                             .utc_offset_s = utc_offset_s,
                             .error = error};
-    parser.rows = g_array_new(FALSE, TRUE, sizeof(struct sas_intention));
+    parser.rows = g_array_new(FALSE, TRUE, sizeof(struct sas_sheet_row));
     int rc = read_rows(&parser, text, size);
     if (rc == 0 && parser.row == 0) {
         rc = fail(error, 1, "time", "the header is missing");
     }
     sheet->row_count = (int)parser.rows->len;
-    sheet->rows = (struct sas_intention *)(void *)g_array_free(
+    sheet->rows = (struct sas_sheet_row *)(void *)g_array_free(
         parser.rows, parser.rows->len == 0);
     if (rc == 0 && sheet->row_count > 0) {
         g_qsort_with_data(sheet->rows, sheet->row_count,
@@ -386,7 +386,7 @@
 }
 
 static int
-parse_cap(struct parser *parser, struct sas_intention *row)
+parse_cap(struct parser *parser, struct sas_sheet_row *row)
 {
     const char *text = parser->fields[COLUMN_CAP];
     const char *unit;
@@ -410,7 +410,7 @@
 }
 
 static int
-parse_limit(struct parser *parser, struct sas_intention *row, char *text,
+parse_limit(struct parser *parser, struct sas_sheet_row *row, char *text,
             unsigned *seen)
 {
     static const char *const keys[] = {"ramp", "headroom", "warm"};
@@ -446,7 +446,7 @@
 }
 
 static int
-parse_limits(struct parser *parser, struct sas_intention *row)
+parse_limits(struct parser *parser, struct sas_sheet_row *row)
 {
     if (parser->fields[COLUMN_LIMITS][0] == '\0') {
         return 0;
@@ -464,7 +464,7 @@
 /* Drain and shift rows. */
 
 static int
-parse_drain(struct parser *parser, struct sas_intention *row)
+parse_drain(struct parser *parser, struct sas_sheet_row *row)
 {
     for (int i = COLUMN_SERVICE; i <= COLUMN_CAP; i++) {
         if (parser->fields[i][0] != '\0') {
@@ -488,7 +488,7 @@
 }
 
 static int
-parse_shift(struct parser *parser, struct sas_intention *row)
+parse_shift(struct parser *parser, struct sas_sheet_row *row)
 {
     const struct sas_model *model = parser->model;
     row->service = SasModel_FindService(model, parser->fields[COLUMN_SERVICE]);
@@ -516,7 +516,7 @@
 static int
 parse_row(struct parser *parser)
 {
-    struct sas_intention row = {.service = SasModel_NONE,
+    struct sas_sheet_row row = {.service = SasModel_NONE,
                                 .from = SasModel_NONE,
                                 .to = SasModel_NONE,
                                 .drain_target = SasModel_NONE,
@@ -541,15 +541,15 @@
 compare_times(const void *left, const void *right, void *data)
 {
     (void)data;
-    const struct sas_intention *a = left;
-    const struct sas_intention *b = right;
+    const struct sas_sheet_row *a = left;
+    const struct sas_sheet_row *b = right;
     return (a->at_ms > b->at_ms) - (a->at_ms < b->at_ms);
 }
 
 /* Sum of the shares shifted away from the row's (service, from). */
 static double
 sum_shares(const double *shares, const struct sas_model *model,
-           const struct sas_intention *row)
+           const struct sas_sheet_row *row)
 {
     int regions = model->region_count;
     const double *first =
@@ -577,14 +577,14 @@
         for (next = first;
              next < sheet->row_count && sheet->rows[next].at_ms == at_ms;
              next++) {
-            const struct sas_intention *row = &sheet->rows[next];
+            const struct sas_sheet_row *row = &sheet->rows[next];
             if (row->drain_kind == SAS_DRAIN_NONE) {
                 shares[(row->service * regions + row->from) * regions +
                        row->to] = row->share;
             }
         }
         for (int i = next - 1; i >= first; i--) {
-            const struct sas_intention *row = &sheet->rows[i];
+            const struct sas_sheet_row *row = &sheet->rows[i];
             if (row->drain_kind == SAS_DRAIN_NONE &&
                 sum_shares(shares, model, row) > 1 + SUM_TOLERANCE) {
                 return fail(error, row->row, "share",
@@ -612,7 +612,7 @@
             model->backends[i].slots > 0;
     }
     for (int i = 0; i < sheet->row_count; i++) {
-        const struct sas_intention *row = &sheet->rows[i];
+        const struct sas_sheet_row *row = &sheet->rows[i];
         int target = row->drain_target;
         if (row->drain_kind == SAS_DRAIN_BACKEND &&
             !drained_backends[target]) {
--- a/packages/core/src/snapshot.c
+++ b/packages/core/src/snapshot.c
@@ -117,7 +117,7 @@
 is_named(const struct sas_config *config, int backend)
 {
     for (int i = 0; config != NULL && i < config->sheet.row_count; i++) {
-        const struct sas_intention *row = &config->sheet.rows[i];
+        const struct sas_sheet_row *row = &config->sheet.rows[i];
         if (row->drain_kind == SAS_DRAIN_BACKEND &&
             row->drain_target == backend) {
             return true;
--- a/packages/core/src/steering.c
+++ b/packages/core/src/steering.c
@@ -160,7 +160,7 @@
     int fleet_slots = SasFleet_CountSlots(steering->fleet);
     g_autofree bool *withdrawn = g_new0(bool, fleet_slots + 1);
     for (int i = 0; i < plan->drain_count; i++) {
-        const struct sas_intention *row = &plan->drains[i];
+        const struct sas_sheet_row *row = &plan->drains[i];
         if (row->drain_kind != SAS_DRAIN_BACKEND ||
             !SasPlan_IsDraining(plan, row->drain_kind, row->drain_target)) {
             continue;
--- a/packages/core/tests/property_shim.c
+++ b/packages/core/tests/property_shim.c
@@ -62,15 +62,15 @@
 SasShim_GetRow(const struct sas_config *config, int row, int64_t *at_ms,
                int *numbers, double *share)
 {
-    const struct sas_intention *intention = &config->sheet.rows[row];
-    *at_ms = intention->at_ms;
-    *share = intention->share;
-    numbers[0] = intention->service;
-    numbers[1] = intention->from;
-    numbers[2] = intention->to;
-    numbers[3] = (int)intention->drain_kind;
-    numbers[4] = intention->drain_target;
-    numbers[5] = intention->row;
+    const struct sas_sheet_row *sheet_row = &config->sheet.rows[row];
+    *at_ms = sheet_row->at_ms;
+    *share = sheet_row->share;
+    numbers[0] = sheet_row->service;
+    numbers[1] = sheet_row->from;
+    numbers[2] = sheet_row->to;
+    numbers[3] = (int)sheet_row->drain_kind;
+    numbers[4] = sheet_row->drain_target;
+    numbers[5] = sheet_row->row;
 }
 
 char *
--- a/packages/core/tests/test_sheet.c
+++ b/packages/core/tests/test_sheet.c
@@ -38,7 +38,7 @@
               &error),
         0);
     assert_int_equal(sheet.row_count, 3);
-    const struct sas_intention *row = &sheet.rows[0];
+    const struct sas_sheet_row *row = &sheet.rows[0];
     assert_int_equal(row->at_ms, DAY_START + (7 * 60 + 30 + 300) * 60000);
     assert_int_equal(row->service, DOSSIERS);
     assert_int_equal(row->from, MONTREAL);
--- a/tools/bench_lookup.c
+++ b/tools/bench_lookup.c
@@ -99,7 +99,7 @@
 static void
 add_shift(struct sas_sheet *sheet, int from, int to, double share)
 {
-    sheet->rows[sheet->row_count++] = (struct sas_intention){
+    sheet->rows[sheet->row_count++] = (struct sas_sheet_row){
         .at_ms = NOW,
         .from = from,
         .to = to,
@@ -113,7 +113,7 @@
 make_plan(struct sas_plan *plan, const struct sas_model *model, double first)
 {
     int regions = model->region_count;
-    struct sas_sheet sheet = {.rows = g_new0(struct sas_intention, regions)};
+    struct sas_sheet sheet = {.rows = g_new0(struct sas_sheet_row, regions)};
     g_autofree struct sas_plan_signal *table =
         g_new0(struct sas_plan_signal, regions);
     struct sas_plan_signals signals = {table, NULL};
