--- a/packages/core/include/sas/plan.h
+++ b/packages/core/include/sas/plan.h
@@ -8,8 +8,8 @@
  *
  * Schedule clock. It starts at the wall clock and never goes back. When the
  * wall clock jumps forward, the schedule clock follows at no more than
- * SasPlan_CATCH_UP times the monotonic clock; when the wall clock jumps back,
- * it runs at half speed until the wall clock has caught up. So no row is
+ * SasPlan_MAX_CLOCK_RATE times the monotonic clock; when the wall clock jumps
+ * back, it runs at half speed until the wall clock has caught up. So no row is
  * skipped or undone. Drains use the later of schedule clock and wall clock, so
  * that a server or VM which must leave gets no new work even if one of them is
  * wrong.
@@ -17,14 +17,14 @@
  * Share in force. It never exceeds the ordered share and falls with it at
  * once. It rises no faster than the ramp of the row that covers the current
  * share, counted in monotonic time, of which one call credits at most
- * SasPlan_MAX_STEP_MS, so that a paused process does not catch up in one step.
- * It never rises above the scheduled share, which is where the ramps alone
- * would be, without any hold. A node that has just started begins at 0 (a row
- * without a ramp is in force at once) and may be seeded with the shares that
- * its peers have in force, up to the scheduled share. A share rises only
+ * SasPlan_MAX_RAMP_STEP_MS, so that a paused process does not catch up in one
+ * step. It never rises above the scheduled share, which is where the ramps
+ * alone would be, without any hold. A node that has just started begins at 0
+ * (a row without a ramp is in force at once) and may be seeded with the shares
+ * that its peers have in force, up to the scheduled share. A share rises only
  * towards a region with recent measurements and enough headroom. Towards a
- * region that is down it is 0; after that it takes at least SasPlan_RETURN_MS
- * to return to the ordered share.
+ * region that is down it is 0; after that it takes at least
+ * SasPlan_RECOVERY_RAMP_MS to return to the ordered share.
  */
 #ifndef SAS_PLAN_H
 #define SAS_PLAN_H
@@ -37,15 +37,22 @@
 #include "sas/model.h"
 #include "sas/sheet.h"
 
-#define SasPlan_CATCH_UP 10       /* most schedule ms per monotonic ms */
-#define SasPlan_MAX_STEP_MS 10000 /* most ramp time credited by one call */
-#define SasPlan_SKEW_MS 10000     /* tolerated clock skew of entry VMs */
-#define SasPlan_OLD_MS 10000      /* older measurements put ramps on hold */
+#define SasPlan_MAX_CLOCK_RATE 10 /* most schedule ms per monotonic ms */
+/* most ramp time credited by one call */
+#define SasPlan_MAX_RAMP_STEP_MS 10000
+#define SasPlan_MAX_CLOCK_SKEW_MS                                             \
+    10000 /* tolerated clock skew of entry VMs                                \
+           */
+/* older measurements put ramps on hold */
+#define SasPlan_MAX_SIGNAL_AGE_MS 10000
 #define SasPlan_MIN_HEADROOM 0.05 /* lower bound of a row's headroom */
-#define SasPlan_WARM_SHARE 0.1    /* of the ordered share, while caches warm */
-#define SasPlan_RETURN_MS 60000   /* least rise time after a region was down */
-#define SasPlan_SEED_MS 30000     /* how long a new node accepts seeds */
-#define SasPlan_AHEAD_MS 30000    /* TTLs get short this long before a row */
+#define SasPlan_WARMUP_SHARE                                                  \
+    0.1 /* of the ordered share, while caches warm                            \
+         */
+/* least rise time after a region was down */
+#define SasPlan_RECOVERY_RAMP_MS 60000
+#define SasPlan_SEED_WINDOW_MS 30000 /* how long a new node accepts seeds */
+#define SasPlan_IMMINENT_MS 30000 /* TTLs get short this long before a row */
 
 /* Why a share does not rise although it is below the ordered share. */
 enum sas_hold {
@@ -68,7 +75,7 @@
  * down, so that it does not take its own partition for an outage. */
 struct sas_plan_signals {
     const struct sas_plan_signal *table; /* [service * regions + region] */
-    const bool *gone;                    /* down, by region; NULL for none */
+    const bool *down;                    /* down, by region; NULL for none */
 };
 
 /* One (service, from, to) that the configuration names. */
@@ -84,15 +91,15 @@
     /* State of SasPlan_Advance. */
     int first_row; /* index into the plan's rows */
     int row_count;
-    int active;         /* row in force, relative to first_row; or NONE */
-    double start_level; /* scheduled share when that row took effect */
-    int64_t flowing_ms; /* warm-up: time since then with a share above 0 */
-    bool returning;     /* the region was down, the share ramps up again */
+    int active_row;     /* row in force, relative to first_row; or NONE */
+    double start_share; /* scheduled share when that row took effect */
+    int64_t warmup_ms;  /* warm-up: time since then with a share above 0 */
+    bool recovering;    /* the region was down, the share ramps up again */
     /* Time, share and warm-up of the row in force under the previous version;
-     * carried_at_ms is -1 when there was none. */
-    int64_t carried_at_ms;
-    double carried_share;
-    int64_t carried_flowing_ms;
+     * previous_at_ms is -1 when there was none. */
+    int64_t previous_at_ms;
+    double previous_share;
+    int64_t previous_warmup_ms;
 };
 
 struct sas_plan {
@@ -106,12 +113,12 @@
     struct sas_sheet_row *drains; /* by time */
     int drain_count;
     bool started;
-    bool fresh;             /* first version, not advanced yet */
-    int64_t fresh_since_ms; /* first Advance of the first version */
+    bool fresh;                   /* first version, not advanced yet */
+    int64_t seed_window_start_ms; /* first Advance of the first version */
     int64_t monotonic_ms;
     int64_t wall_ms;
     int64_t clock_ms; /* schedule clock */
-    bool *gone;       /* region is down, from the last signals */
+    bool *down;       /* region is down, from the last signals */
     double *headroom; /* [service * regions + region], NAN if unknown or old */
 };
 
@@ -137,9 +144,9 @@
                      const struct sas_plan_signals *signals);
 
 /* Raises a share to what a peer has in force, at most to the scheduled share.
- * Only has an effect during the first SasPlan_SEED_MS after the first Advance
- * of the node's first version, and not while the target region is down. True
- * when the share in force changed. */
+ * Only has an effect during the first SasPlan_SEED_WINDOW_MS after the first
+ * Advance of the node's first version, and not while the target region is
+ * down. True when the share in force changed. */
 bool SasPlan_Seed(struct sas_plan *plan, int service, int from, int to,
                   double share);
 
@@ -160,7 +167,7 @@
                         double *weights);
 
 /* True while a share from home differs from the ordered one or a row changes
- * it within SasPlan_AHEAD_MS, and while the home region is down. Lookup
+ * it within SasPlan_IMMINENT_MS, and while the home region is down. Lookup
  * answers then get a short TTL. */
 bool SasPlan_IsShifting(const struct sas_plan *plan, int service, int home);
 
--- a/packages/core/src/plan.c
+++ b/packages/core/src/plan.c
@@ -45,11 +45,11 @@
     plan->accepted_ms = config->accepted_ms;
     plan->fresh = old.version == 0;
     plan->started = old.started;
-    plan->fresh_since_ms = old.fresh_since_ms;
+    plan->seed_window_start_ms = old.seed_window_start_ms;
     plan->monotonic_ms = old.monotonic_ms;
     plan->wall_ms = old.wall_ms;
     plan->clock_ms = old.clock_ms;
-    plan->gone = g_new0(bool, model->region_count + 1);
+    plan->down = g_new0(bool, model->region_count + 1);
     plan->headroom = g_new(double, cells + 1);
     for (size_t i = 0; i < cells; i++) {
         plan->headroom[i] = NAN;
@@ -66,7 +66,7 @@
     g_free(plan->shifts);
     g_free(plan->rows);
     g_free(plan->drains);
-    g_free(plan->gone);
+    g_free(plan->down);
     g_free(plan->headroom);
     memset(plan, 0, sizeof(*plan));
 }
@@ -81,7 +81,7 @@
     bool changed = false;
     int64_t elapsed_ms = advance_clock(plan, wall_ms, monotonic_ms);
     if (fresh) {
-        plan->fresh_since_ms = plan->monotonic_ms;
+        plan->seed_window_start_ms = plan->monotonic_ms;
         plan->fresh = false;
     }
     apply_signals(plan, signals);
@@ -97,9 +97,10 @@
 {
     int i = find_shift(plan, service, from, to);
     struct sas_shift *shift = i == SasModel_NONE ? NULL : &plan->shifts[i];
-    bool fresh = plan->monotonic_ms - plan->fresh_since_ms <= SasPlan_SEED_MS;
-    if (shift == NULL || !fresh || shift->active == SasModel_NONE ||
-        plan->gone[to] || !(share > shift->in_force)) {
+    bool fresh = plan->monotonic_ms - plan->seed_window_start_ms <=
+                 SasPlan_SEED_WINDOW_MS;
+    if (shift == NULL || !fresh || shift->active_row == SasModel_NONE ||
+        plan->down[to] || !(share > shift->in_force)) {
         return false;
     }
     double scheduled = get_scheduled_share(plan, shift);
@@ -142,7 +143,7 @@
 static double
 get_free_slots(const struct sas_plan *plan, int service, int region)
 {
-    if (plan->gone[region]) {
+    if (plan->down[region]) {
         return 0;
     }
     double headroom =
@@ -192,27 +193,27 @@
         remaining -= plan->shifts[i].in_force;
     }
     weights[home] = fmax(remaining, 0);
-    if (plan->gone != NULL && plan->gone[home]) {
+    if (plan->down != NULL && plan->down[home]) {
         distribute_home_share(plan, service, home, weights);
     }
 }
 
-/* True from SasPlan_AHEAD_MS before the next row on. Lookup answers then get a
- * short TTL, so that callers don't keep using answers from before the row when
- * it takes effect. */
+/* True from SasPlan_IMMINENT_MS before the next row on. Lookup answers then
+ * get a short TTL, so that callers don't keep using answers from before the
+ * row when it takes effect. */
 static bool
 is_imminent(const struct sas_plan *plan, const struct sas_shift *shift)
 {
-    int next = shift->active + 1;
+    int next = shift->active_row + 1;
     return next < shift->row_count &&
            plan->rows[shift->first_row + next].at_ms - plan->clock_ms <=
-               SasPlan_AHEAD_MS;
+               SasPlan_IMMINENT_MS;
 }
 
 bool
 SasPlan_IsShifting(const struct sas_plan *plan, int service, int home)
 {
-    if (plan->gone != NULL && plan->gone[home]) {
+    if (plan->down != NULL && plan->down[home]) {
         return true;
     }
     int i = find_first_shift(plan, service, home);
@@ -350,8 +351,8 @@
             .to = row->to,
             .first_row = i,
             .row_count = 1,
-            .active = SasModel_NONE,
-            .carried_at_ms = -1,
+            .active_row = SasModel_NONE,
+            .previous_at_ms = -1,
         };
     }
 }
@@ -372,13 +373,13 @@
         shift->ordered = previous->ordered;
         shift->in_force = previous->in_force;
         shift->holding = previous->holding;
-        shift->returning = previous->returning;
-        if (previous->active != SasModel_NONE) {
+        shift->recovering = previous->recovering;
+        if (previous->active_row != SasModel_NONE) {
             const struct sas_sheet_row *row =
-                &old->rows[previous->first_row + previous->active];
-            shift->carried_at_ms = row->at_ms;
-            shift->carried_share = row->share;
-            shift->carried_flowing_ms = previous->flowing_ms;
+                &old->rows[previous->first_row + previous->active_row];
+            shift->previous_at_ms = row->at_ms;
+            shift->previous_share = row->share;
+            shift->previous_warmup_ms = previous->warmup_ms;
         }
     }
 }
@@ -386,7 +387,7 @@
 /* Clocks and signals. */
 
 /* Advances the schedule clock. Returns the monotonic time since the last call,
- * at most SasPlan_MAX_STEP_MS. */
+ * at most SasPlan_MAX_RAMP_STEP_MS. */
 static int64_t
 advance_clock(struct sas_plan *plan, int64_t wall_ms, int64_t monotonic_ms)
 {
@@ -404,12 +405,12 @@
     plan->monotonic_ms = MAX(plan->monotonic_ms, monotonic_ms);
     if (wall_ms >= plan->clock_ms + elapsed_ms) {
         plan->clock_ms =
-            MIN(wall_ms, plan->clock_ms + elapsed_ms * SasPlan_CATCH_UP);
+            MIN(wall_ms, plan->clock_ms + elapsed_ms * SasPlan_MAX_CLOCK_RATE);
     }
     else {
         plan->clock_ms = MAX(wall_ms, plan->clock_ms + elapsed_ms / 2);
     }
-    return MIN(elapsed_ms, SasPlan_MAX_STEP_MS);
+    return MIN(elapsed_ms, SasPlan_MAX_RAMP_STEP_MS);
 }
 
 static void
@@ -418,12 +419,12 @@
     int regions = plan->model->region_count;
     int cells = plan->model->service_count * regions;
     for (int i = 0; i < regions; i++) {
-        plan->gone[i] =
-            signals != NULL && signals->gone != NULL && signals->gone[i];
+        plan->down[i] =
+            signals != NULL && signals->down != NULL && signals->down[i];
     }
     for (int i = 0; i < cells; i++) {
         bool recent = signals != NULL && signals->table != NULL &&
-                      signals->table[i].age_ms <= SasPlan_OLD_MS;
+                      signals->table[i].age_ms <= SasPlan_MAX_SIGNAL_AGE_MS;
         plan->headroom[i] = recent ? signals->table[i].headroom : NAN;
     }
 }
@@ -478,16 +479,17 @@
 }
 
 /* True when the row has taken effect. If this node's clock is behind that of
- * the node which accepted the version, by at most SasPlan_SKEW_MS, rows up to
- * the time of acceptance are due as well. Otherwise a shift that continues
- * would have no row until the clock catches up: its callers would go home, and
- * those above home's capacity would spill over without a cap. */
+ * the node which accepted the version, by at most SasPlan_MAX_CLOCK_SKEW_MS,
+ * rows up to the time of acceptance are due as well. Otherwise a shift that
+ * continues would have no row until the clock catches up: its callers would go
+ * home, and those above home's capacity would spill over without a cap. */
 static bool
 is_due(const struct sas_plan *plan, const struct sas_sheet_row *row)
 {
     int64_t ahead_ms = plan->accepted_ms - plan->clock_ms;
     return row->at_ms <= plan->clock_ms ||
-           (row->at_ms <= plan->accepted_ms && ahead_ms <= SasPlan_SKEW_MS);
+           (row->at_ms <= plan->accepted_ms &&
+            ahead_ms <= SasPlan_MAX_CLOCK_SKEW_MS);
 }
 
 static int64_t
@@ -500,8 +502,8 @@
 get_scheduled_share(const struct sas_plan *plan, const struct sas_shift *shift)
 {
     const struct sas_sheet_row *rows = plan->rows + shift->first_row;
-    const struct sas_sheet_row *row = &rows[shift->active];
-    return ramp_up(rows, shift->active, shift->start_level,
+    const struct sas_sheet_row *row = &rows[shift->active_row];
+    return ramp_up(rows, shift->active_row, shift->start_share,
                    get_time_since(plan, row), row->share);
 }
 
@@ -512,21 +514,21 @@
 activate_rows(const struct sas_plan *plan, struct sas_shift *shift, bool fresh)
 {
     const struct sas_sheet_row *rows = plan->rows + shift->first_row;
-    int next = shift->active + 1;
+    int next = shift->active_row + 1;
     for (; next < shift->row_count && is_due(plan, &rows[next]); next++) {
         const struct sas_sheet_row *row = &rows[next];
         double share = 0;
         if (next > 0) {
-            share = ramp_up(rows, next - 1, shift->start_level,
+            share = ramp_up(rows, next - 1, shift->start_share,
                             row->at_ms - rows[next - 1].at_ms,
                             rows[next - 1].share);
         }
-        shift->start_level = fmin(share, row->share);
-        shift->active = next;
-        shift->flowing_ms = fresh ? get_time_since(plan, row) : 0;
-        if (row->at_ms == shift->carried_at_ms &&
-            row->share == shift->carried_share) {
-            shift->flowing_ms = shift->carried_flowing_ms;
+        shift->start_share = fmin(share, row->share);
+        shift->active_row = next;
+        shift->warmup_ms = fresh ? get_time_since(plan, row) : 0;
+        if (row->at_ms == shift->previous_at_ms &&
+            row->share == shift->previous_share) {
+            shift->warmup_ms = shift->previous_warmup_ms;
         }
     }
 }
@@ -552,11 +554,12 @@
 get_limit(const struct sas_plan *plan, struct sas_shift *shift)
 {
     const struct sas_sheet_row *rows = plan->rows + shift->first_row;
-    const struct sas_sheet_row *row = &rows[shift->active];
+    const struct sas_sheet_row *row = &rows[shift->active_row];
     double limit = get_scheduled_share(plan, shift);
-    if (shift->flowing_ms < row->warm_ms) {
-        double base = fmin(get_ramp_start(rows, shift->active), row->share);
-        double warm = fmax(base, SasPlan_WARM_SHARE * row->share);
+    if (shift->warmup_ms < row->warm_ms) {
+        double base =
+            fmin(get_ramp_start(rows, shift->active_row), row->share);
+        double warm = fmax(base, SasPlan_WARMUP_SHARE * row->share);
         if (warm < limit) {
             shift->holding = SAS_HOLD_CACHE_COLD;
             limit = warm;
@@ -570,7 +573,7 @@
             int64_t elapsed_ms)
 {
     const struct sas_sheet_row *rows = plan->rows + shift->first_row;
-    const struct sas_sheet_row *row = &rows[shift->active];
+    const struct sas_sheet_row *row = &rows[shift->active_row];
     int cell = shift->service * plan->model->region_count + shift->to;
     shift->holding = find_hold(plan->headroom[cell], row->headroom);
     if (shift->holding != SAS_HOLD_NONE) {
@@ -578,9 +581,9 @@
     }
     double limit = get_limit(plan, shift);
     double share =
-        ramp_up(rows, shift->active, shift->in_force, elapsed_ms, limit);
-    if (shift->returning) {
-        double step = shift->ordered * elapsed_ms / SasPlan_RETURN_MS;
+        ramp_up(rows, shift->active_row, shift->in_force, elapsed_ms, limit);
+    if (shift->recovering) {
+        double step = shift->ordered * elapsed_ms / SasPlan_RECOVERY_RAMP_MS;
         share = fmin(share, shift->in_force + step);
     }
     shift->in_force = share;
@@ -592,31 +595,31 @@
 {
     double before = shift->in_force;
     activate_rows(plan, shift, fresh);
-    if (shift->active == SasModel_NONE) {
+    if (shift->active_row == SasModel_NONE) {
         shift->ordered = 0;
         shift->in_force = 0;
         return before != 0;
     }
     const struct sas_sheet_row *row =
-        &plan->rows[shift->first_row + shift->active];
+        &plan->rows[shift->first_row + shift->active_row];
     shift->ordered = row->share;
     shift->cap = row->cap;
     shift->cap_unit = row->cap_unit;
     shift->holding = SAS_HOLD_NONE;
     shift->in_force = fmin(shift->in_force, shift->ordered);
-    if (plan->gone[shift->to]) {
+    if (plan->down[shift->to]) {
         shift->in_force = 0;
-        shift->returning = true;
+        shift->recovering = true;
         shift->holding = SAS_HOLD_REGION_GONE;
     }
     else if (shift->in_force < shift->ordered) {
         raise_share(plan, shift, elapsed_ms);
     }
     if (shift->in_force >= shift->ordered) {
-        shift->returning = false;
+        shift->recovering = false;
     }
     if (shift->in_force > 0) {
-        shift->flowing_ms += elapsed_ms;
+        shift->warmup_ms += elapsed_ms;
     }
     return shift->in_force != before;
 }
--- a/packages/core/src/steering.c
+++ b/packages/core/src/steering.c
@@ -196,7 +196,7 @@
     for (int i = 0; i < services * regions; i++) {
         table[i] = make_signal(steering, i / regions, i % regions, now_ms);
     }
-    struct sas_plan_signals signals = {.table = table, .gone = down};
+    struct sas_plan_signals signals = {.table = table, .down = down};
     bool changed = SasPlan_Advance(&steering->plan, wall_ms, now_ms, &signals);
     withdraw_servers(steering);
     return changed;
--- a/packages/core/tests/test_plan.c
+++ b/packages/core/tests/test_plan.c
@@ -204,7 +204,7 @@
     struct sas_plan plan = {0};
     build(&plan, 1,
           "+0,dossiers,montreal,quebec,60%,,,ramp=300;headroom=20%;warm=60\n");
-    table[QUEBEC].age_ms = SasPlan_OLD_MS + 1;
+    table[QUEBEC].age_ms = SasPlan_MAX_SIGNAL_AGE_MS + 1;
     run(&plan, NOW, 0, 10);
     assert_int_equal(get_hold(&plan), SAS_HOLD_MEASUREMENTS_OLD);
     table[QUEBEC] = (struct sas_plan_signal){0.5, NAN};
--- a/packages/node/src/router_updates.c
+++ b/packages/node/src/router_updates.c
@@ -261,7 +261,7 @@
     }
     struct sas_plan_signals signals = {
         .table = router->signals,
-        .gone = router->down,
+        .down = router->down,
     };
     bool changed = SasPlan_Advance(
         &router->plan, router->options.get_wall_ms(), now, &signals);
