--- a/packages/core/include/sas/lookup.h
+++ b/packages/core/include/sas/lookup.h
@@ -24,10 +24,10 @@
 #include "sas/model.h"
 #include "sas/plan.h"
 
-#define SasLookup_LIFETIME_MS 20000
-#define SasLookup_SHIFTING_LIFETIME_MS 5000
+#define SasLookup_TTL_MS 20000
+#define SasLookup_SHIFTING_TTL_MS 5000
 #define SasLookup_JITTER 0.25 /* of the lifetime, either way */
-#define SasLookup_MAX_LIFETIME_MS 25000
+#define SasLookup_MAX_TTL_MS 25000
 
 /* What a block can be assigned to: a region, or one site of several in it.
  * At most 65536 in an array. */
@@ -59,16 +59,16 @@
 };
 
 /* Liveness of an entry VM as one source reports it, with a delay. */
-enum sas_vm_word {
+enum sas_vm_liveness {
     SAS_VM_UNKNOWN, /* no report yet */
     SAS_VM_LIVE,
     SAS_VM_DEAD /* answers no peer, or is absent from the platform's list */
 };
 
-struct sas_vm_view {
-    enum sas_vm_word peers;    /* by failure detection among entry VMs */
-    enum sas_vm_word platform; /* by the platform's list of VMs */
-    bool leaving;              /* by the sheet, that list or its own report */
+struct sas_vm_status {
+    enum sas_vm_liveness peers;    /* by failure detection among entry VMs */
+    enum sas_vm_liveness platform; /* by the platform's list of VMs */
+    bool leaving; /* by the sheet, that list or its own report */
 };
 
 /* Indexes the model's blocks. SasLookup_Rebuild then assigns them for each
@@ -83,8 +83,8 @@
 
 /* Returns the region for a caller's address (host byte order), or
  * SasModel_NONE before the first Rebuild of the service. */
-int SasLookup_Find(const struct sas_lookup *lookup, int service,
-                   uint32_t ipv4);
+int SasLookup_FindRegion(const struct sas_lookup *lookup, int service,
+                         uint32_t ipv4);
 
 /* The home region of the caller's block. */
 int SasLookup_FindHome(const struct sas_lookup *lookup, uint32_t ipv4);
@@ -99,21 +99,21 @@
  * model has none. */
 int SasLookup_OrderVms(const struct sas_lookup *lookup,
                        const struct sas_model *model, int region,
-                       uint32_t ipv4, const struct sas_vm_view *views,
+                       uint32_t ipv4, const struct sas_vm_status *statuses,
                        int *vms, int max);
 
 /* Returns the TTL of an answer in ms: how long a caller may cache it, never
- * above SasLookup_MAX_LIFETIME_MS. Short while a shift from the home region is
+ * above SasLookup_MAX_TTL_MS. Short while a shift from the home region is
  * under way. random in [0, 1) gives the jitter. */
-int64_t SasLookup_ChooseLifetime(const struct sas_plan *plan, int service,
-                                 int home, double random);
+int64_t SasLookup_ChooseTtl(const struct sas_plan *plan, int service, int home,
+                            double random);
 
 /* Returns the index of the target that a key is assigned to. At least one
  * target needs a weight above 0. */
-int SasLookup_Choose(uint64_t key, const struct sas_target *targets,
-                     int target_count);
+int SasLookup_ChooseTarget(uint64_t key, const struct sas_target *targets,
+                           int target_count);
 
-/* SasLookup_Choose for an array of keys. */
+/* SasLookup_ChooseTarget for an array of keys. */
 void SasLookup_Assign(const uint64_t *keys, int count,
                       const struct sas_target *targets, int target_count,
                       uint16_t *owners);
--- a/packages/core/src/lookup.c
+++ b/packages/core/src/lookup.c
@@ -117,7 +117,8 @@
 }
 
 int
-SasLookup_Find(const struct sas_lookup *lookup, int service, uint32_t ipv4)
+SasLookup_FindRegion(const struct sas_lookup *lookup, int service,
+                     uint32_t ipv4)
 {
     const struct sas_lookup_answers *answers = &lookup->answers[service];
     if (answers->owners == NULL) {
@@ -127,10 +128,10 @@
     if (block != SasModel_NONE) {
         return answers->owners[block];
     }
-    return SasLookup_Choose(make_key(ipv4, DEFAULT_PREFIX_LENGTH),
-                            answers->targets +
-                                lookup->default_home * lookup->region_count,
-                            lookup->region_count);
+    return SasLookup_ChooseTarget(make_key(ipv4, DEFAULT_PREFIX_LENGTH),
+                                  answers->targets + lookup->default_home *
+                                                         lookup->region_count,
+                                  lookup->region_count);
 }
 
 int
@@ -157,19 +158,19 @@
 };
 
 static int
-get_suspicion(const struct sas_vm_view *view)
+get_suspicion(const struct sas_vm_status *status)
 {
     int suspicion = 0;
-    if (view->peers == SAS_VM_DEAD) {
+    if (status->peers == SAS_VM_DEAD) {
         suspicion += SUSPICION_PEERS_DEAD;
     }
-    else if (view->peers == SAS_VM_UNKNOWN) {
+    else if (status->peers == SAS_VM_UNKNOWN) {
         suspicion += SUSPICION_PEERS_UNKNOWN;
     }
-    if (view->platform == SAS_VM_DEAD) {
+    if (status->platform == SAS_VM_DEAD) {
         suspicion += SUSPICION_LIST_ABSENT;
     }
-    return suspicion + (view->leaving ? SUSPICION_LEAVING : 0);
+    return suspicion + (status->leaving ? SUSPICION_LEAVING : 0);
 }
 
 static int
@@ -215,7 +216,7 @@
 int
 SasLookup_OrderVms(const struct sas_lookup *lookup,
                    const struct sas_model *model, int region, uint32_t ipv4,
-                   const struct sas_vm_view *views, int *vms, int max)
+                   const struct sas_vm_status *statuses, int *vms, int max)
 {
     uint64_t key = get_block_key(lookup, ipv4);
     g_autofree struct vm_rank *ranks =
@@ -224,7 +225,7 @@
         struct sas_target target = {hash_name(model->vms[i].name), 1};
         ranks[i] = (struct vm_rank){
             .vm = i,
-            .suspicion = get_suspicion(&views[i]),
+            .suspicion = get_suspicion(&statuses[i]),
             .other_region = SasModel_GetVmRegion(model, i) != region,
             .score = get_score(key, &target),
         };
@@ -239,12 +240,12 @@
 }
 
 int64_t
-SasLookup_ChooseLifetime(const struct sas_plan *plan, int service, int home,
-                         double random)
+SasLookup_ChooseTtl(const struct sas_plan *plan, int service, int home,
+                    double random)
 {
     double lifetime_ms = SasPlan_IsShifting(plan, service, home)
-                             ? SasLookup_SHIFTING_LIFETIME_MS
-                             : SasLookup_LIFETIME_MS;
+                             ? SasLookup_SHIFTING_TTL_MS
+                             : SasLookup_TTL_MS;
     double factor = 1 + SasLookup_JITTER * (2 * random - 1);
     return (int64_t)(lifetime_ms * factor);
 }
@@ -252,8 +253,8 @@
 /* Rendezvous hashing. */
 
 int
-SasLookup_Choose(uint64_t key, const struct sas_target *targets,
-                 int target_count)
+SasLookup_ChooseTarget(uint64_t key, const struct sas_target *targets,
+                       int target_count)
 {
     int owner = 0;
     double best = INFINITY;
@@ -283,7 +284,8 @@
                  uint16_t *owners)
 {
     for (int i = 0; i < count; i++) {
-        owners[i] = (uint16_t)SasLookup_Choose(keys[i], targets, target_count);
+        owners[i] =
+            (uint16_t)SasLookup_ChooseTarget(keys[i], targets, target_count);
     }
 }
 
@@ -324,7 +326,7 @@
     for (int i = 0; i < count; i++) {
         int owner = owners[i];
         if (targets[owner].weight < old_targets[owner].weight) {
-            owner = SasLookup_Choose(keys[i], targets, target_count);
+            owner = SasLookup_ChooseTarget(keys[i], targets, target_count);
         }
         else if (raised_count > 0) {
             owner = choose_among_raised(keys[i], targets, owner, raised,
--- a/packages/core/tests/test_lookup.c
+++ b/packages/core/tests/test_lookup.c
@@ -51,7 +51,8 @@
     assert_int_equal(SasLookup_FindHome(&lookup, 0xc0a90000), MONTREAL);
     assert_int_equal(SasLookup_FindHome(&lookup, 0xffffffff), MONTREAL);
     assert_int_equal(SasLookup_FindHome(&lookup, 0), MONTREAL);
-    assert_int_equal(SasLookup_Find(&lookup, DOSSIERS, INSIDE), SasModel_NONE);
+    assert_int_equal(SasLookup_FindRegion(&lookup, DOSSIERS, INSIDE),
+                     SasModel_NONE);
     SasLookup_Close(&lookup);
 }
 
@@ -68,14 +69,14 @@
     assert_int_equal(SasLookup_Rebuild(&lookup, &fixture, &plan, DOSSIERS), 4);
     assert_int_equal(SasLookup_Rebuild(&lookup, &fixture, &plan, GALERIE), 4);
     assert_int_equal(SasLookup_Rebuild(&lookup, &fixture, &plan, DOSSIERS), 0);
-    assert_int_equal(SasLookup_Find(&lookup, DOSSIERS, INSIDE), QUEBEC);
-    assert_int_equal(SasLookup_Find(&lookup, GALERIE, INSIDE), SAGUENAY);
-    assert_int_equal(SasLookup_Find(&lookup, DOSSIERS, NEXT_TO), QUEBEC);
+    assert_int_equal(SasLookup_FindRegion(&lookup, DOSSIERS, INSIDE), QUEBEC);
+    assert_int_equal(SasLookup_FindRegion(&lookup, GALERIE, INSIDE), SAGUENAY);
+    assert_int_equal(SasLookup_FindRegion(&lookup, DOSSIERS, NEXT_TO), QUEBEC);
     int shifted = 0;
     for (uint32_t i = 0; i < 1000; i++) {
         uint32_t ipv4 = OUTSIDE + i * 256;
-        int region = SasLookup_Find(&lookup, DOSSIERS, ipv4);
-        assert_int_equal(SasLookup_Find(&lookup, DOSSIERS, ipv4 ^ 0xff),
+        int region = SasLookup_FindRegion(&lookup, DOSSIERS, ipv4);
+        assert_int_equal(SasLookup_FindRegion(&lookup, DOSSIERS, ipv4 ^ 0xff),
                          region);
         shifted += region == QUEBEC;
     }
@@ -117,8 +118,9 @@
     }
     SasLookup_Rebuild(&fresh, &model, &plan, DOSSIERS);
     for (int i = 0; i < BLOCK_COUNT; i++) {
-        assert_int_equal(SasLookup_Find(&old, DOSSIERS, blocks[i].network),
-                         SasLookup_Find(&fresh, DOSSIERS, blocks[i].network));
+        assert_int_equal(
+            SasLookup_FindRegion(&old, DOSSIERS, blocks[i].network),
+            SasLookup_FindRegion(&fresh, DOSSIERS, blocks[i].network));
     }
     SasPlan_Free(&plan);
     SasLookup_Close(&old);
@@ -126,22 +128,22 @@
 }
 
 static int
-order(const struct sas_vm_view *views, int *vms, int max)
+order(const struct sas_vm_status *statuses, int *vms, int max)
 {
     struct sas_lookup lookup;
     SasLookup_Init(&lookup, &fixture);
-    int count =
-        SasLookup_OrderVms(&lookup, &fixture, QUEBEC, INSIDE, views, vms, max);
+    int count = SasLookup_OrderVms(&lookup, &fixture, QUEBEC, INSIDE, statuses,
+                                   vms, max);
     SasLookup_Close(&lookup);
     return count;
 }
 
 static void
-set_views(struct sas_vm_view *views, enum sas_vm_word peers,
-          enum sas_vm_word platform)
+set_views(struct sas_vm_status *statuses, enum sas_vm_liveness peers,
+          enum sas_vm_liveness platform)
 {
     for (int i = 0; i < 6; i++) {
-        views[i] = (struct sas_vm_view){peers, platform, false};
+        statuses[i] = (struct sas_vm_status){peers, platform, false};
     }
 }
 
@@ -149,19 +151,19 @@
 test_vms_of_the_region_come_first(void **state)
 {
     (void)state;
-    struct sas_vm_view views[6];
+    struct sas_vm_status statuses[6];
     int vms[6];
-    set_views(views, SAS_VM_LIVE, SAS_VM_LIVE);
-    assert_int_equal(order(views, vms, 6), 6);
+    set_views(statuses, SAS_VM_LIVE, SAS_VM_LIVE);
+    assert_int_equal(order(statuses, vms, 6), 6);
     assert_int_equal(vms[0] + vms[1], 2 + 3);
-    assert_int_equal(order(views, vms, 1), 1);
-    views[2].peers = SAS_VM_DEAD;
-    assert_int_equal(order(views, vms, 6), 6);
+    assert_int_equal(order(statuses, vms, 1), 1);
+    statuses[2].peers = SAS_VM_DEAD;
+    assert_int_equal(order(statuses, vms, 6), 6);
     assert_int_equal(vms[0], 3);
     assert_int_equal(vms[5], 2);
-    views[2].platform = SAS_VM_DEAD;
-    views[3].leaving = true;
-    assert_int_equal(order(views, vms, 6), 4);
+    statuses[2].platform = SAS_VM_DEAD;
+    statuses[3].leaving = true;
+    assert_int_equal(order(statuses, vms, 6), 4);
     for (int i = 0; i < 4; i++) {
         assert_true(vms[i] != 2 && vms[i] != 3);
     }
@@ -174,21 +176,21 @@
 test_answer_is_never_empty(void **state)
 {
     (void)state;
-    struct sas_vm_view views[6];
+    struct sas_vm_status statuses[6];
     int vms[6];
-    set_views(views, SAS_VM_LIVE, SAS_VM_DEAD);
-    assert_int_equal(order(views, vms, 6), 6);
-    set_views(views, SAS_VM_DEAD, SAS_VM_LIVE);
-    assert_int_equal(order(views, vms, 6), 6);
-    set_views(views, SAS_VM_DEAD, SAS_VM_DEAD);
-    views[5].leaving = true;
-    assert_int_equal(order(views, vms, 6), 5);
-    set_views(views, SAS_VM_LIVE, SAS_VM_LIVE);
+    set_views(statuses, SAS_VM_LIVE, SAS_VM_DEAD);
+    assert_int_equal(order(statuses, vms, 6), 6);
+    set_views(statuses, SAS_VM_DEAD, SAS_VM_LIVE);
+    assert_int_equal(order(statuses, vms, 6), 6);
+    set_views(statuses, SAS_VM_DEAD, SAS_VM_DEAD);
+    statuses[5].leaving = true;
+    assert_int_equal(order(statuses, vms, 6), 5);
+    set_views(statuses, SAS_VM_LIVE, SAS_VM_LIVE);
     for (int i = 0; i < 6; i++) {
-        views[i].leaving = true;
+        statuses[i].leaving = true;
     }
-    views[0].peers = SAS_VM_DEAD;
-    assert_int_equal(order(views, vms, 6), 5);
+    statuses[0].peers = SAS_VM_DEAD;
+    assert_int_equal(order(statuses, vms, 6), 5);
 }
 
 static void
@@ -197,11 +199,11 @@
     (void)state;
     struct sas_plan plan = {0};
     build(&plan, &fixture, "+0,dossiers,montreal,quebec,50%,,,ramp=60\n");
-    assert_int_equal(SasLookup_ChooseLifetime(&plan, GALERIE, 0, 0.5), 20000);
-    assert_int_equal(SasLookup_ChooseLifetime(&plan, GALERIE, 0, 0), 15000);
-    assert_true(SasLookup_ChooseLifetime(&plan, GALERIE, 0, 0.999999) <=
-                SasLookup_MAX_LIFETIME_MS);
-    assert_int_equal(SasLookup_ChooseLifetime(&plan, DOSSIERS, 0, 0.5), 5000);
+    assert_int_equal(SasLookup_ChooseTtl(&plan, GALERIE, 0, 0.5), 20000);
+    assert_int_equal(SasLookup_ChooseTtl(&plan, GALERIE, 0, 0), 15000);
+    assert_true(SasLookup_ChooseTtl(&plan, GALERIE, 0, 0.999999) <=
+                SasLookup_MAX_TTL_MS);
+    assert_int_equal(SasLookup_ChooseTtl(&plan, DOSSIERS, 0, 0.5), 5000);
     SasPlan_Free(&plan);
 }
 
--- a/packages/node/src/router.c
+++ b/packages/node/src/router.c
@@ -38,7 +38,7 @@
     router->backends = g_new0(struct backend_row, model->backend_count);
     SasDeparture_Init(&router->departures, model->backend_count);
     router->vms = g_new0(struct vm_row, model->vm_count);
-    router->views = g_new0(struct sas_vm_view, model->vm_count);
+    router->views = g_new0(struct sas_vm_status, model->vm_count);
 
     router->signals = g_new0(struct sas_plan_signal,
                              model->service_count * model->region_count);
@@ -112,9 +112,9 @@
         return -1;
     }
     int home = SasLookup_FindHome(&router->lookup, caller_ip);
-    result->region = SasLookup_Find(&router->lookup, service, caller_ip);
+    result->region = SasLookup_FindRegion(&router->lookup, service, caller_ip);
     result->version = router->version;
-    int64_t lifetime_ms = SasLookup_ChooseLifetime(
+    int64_t lifetime_ms = SasLookup_ChooseTtl(
         &router->plan, service, home, g_rand_double(router->options.random));
     result->lifetime_s = (int)MAX(lifetime_ms / 1000, 1);
     result->vm_count = SasLookup_OrderVms(
--- a/packages/node/src/router_acquire.c
+++ b/packages/node/src/router_acquire.c
@@ -240,8 +240,8 @@
         return SAS_ROUTER_REFUSED;
     }
     int home = SasLookup_FindHome(&router->lookup, query->caller_ip);
-    int target =
-        SasLookup_Find(&router->lookup, query->service, query->caller_ip);
+    int target = SasLookup_FindRegion(&router->lookup, query->service,
+                                      query->caller_ip);
     bool any_usable = false;
     /* A shifted caller falls back to its home region, for example when the
      * shift is over its cap. */
--- a/packages/node/src/router_state.h
+++ b/packages/node/src/router_state.h
@@ -42,7 +42,7 @@
     struct backend_row *backends;
     struct sas_departure_table departures;
     struct vm_row *vms;
-    struct sas_vm_view *views;
+    struct sas_vm_status *views;
     bool shares_seeded; /* with a peer's shares */
     struct sas_plan_signal *signals;
     bool *down;           /* by region */
--- a/tools/bench_lookup.c
+++ b/tools/bench_lookup.c
@@ -138,7 +138,7 @@
     double start = get_seconds(CLOCK_MONOTONIC);
     int64_t sum = 0;
     for (int i = 0; i < LOOKUPS; i++) {
-        sum += SasLookup_Find(lookup, 0, addresses[i]);
+        sum += SasLookup_FindRegion(lookup, 0, addresses[i]);
     }
     double seconds = get_seconds(CLOCK_MONOTONIC) - start;
     if (sum < 0 || sum > (int64_t)LOOKUPS * model->region_count) {
@@ -198,22 +198,22 @@
     model.domains = g_new0(struct sas_domain, 3);
     model.vms = g_new0(struct sas_vm, vm_count);
     model.vm_count = vm_count;
-    g_autofree struct sas_vm_view *views =
-        g_new0(struct sas_vm_view, vm_count);
+    g_autofree struct sas_vm_status *statuses =
+        g_new0(struct sas_vm_status, vm_count);
     for (int i = 0; i < 3; i++) {
         model.domains[i].region = i;
     }
     for (int i = 0; i < vm_count; i++) {
         snprintf(model.vms[i].name, SasModel_NAME_SIZE, "vm-%03d", i);
         model.vms[i].domain = i % 3;
-        views[i] = (struct sas_vm_view){SAS_VM_LIVE, SAS_VM_LIVE, false};
+        statuses[i] = (struct sas_vm_status){SAS_VM_LIVE, SAS_VM_LIVE, false};
     }
     SasLookup_Init(&lookup, &model);
     for (int run = 0; run < runs; run++) {
         double start = get_seconds(CLOCK_MONOTONIC);
         for (uint32_t i = 0; i < ORDERS; i++) {
             SasLookup_OrderVms(&lookup, &model, 0, 0x01000000 + i * 0x3000,
-                               views, vms, 8);
+                               statuses, vms, 8);
         }
         double seconds = get_seconds(CLOCK_MONOTONIC) - start;
         add_figure(&figures, seconds / ORDERS * 1e6);
@@ -360,9 +360,10 @@
         groups[i / size].weight += targets[i].weight;
     }
     for (int i = 0; i < count; i++) {
-        int first = SasLookup_Choose(keys[i], groups, group_count) * size;
+        int first =
+            SasLookup_ChooseTarget(keys[i], groups, group_count) * size;
         int members = MIN(size, target_count - first);
-        owners[i] = (uint16_t)(first + SasLookup_Choose(
+        owners[i] = (uint16_t)(first + SasLookup_ChooseTarget(
                                            keys[i], targets + first, members));
     }
 }
