--- a/packages/core/include/sas/steering.h
+++ b/packages/core/include/sas/steering.h
@@ -36,8 +36,8 @@
 struct sas_model *SasSteering_GetModel(struct sas_steering *steering);
 
 /* Makes an accepted version the current one and keeps a reference to it. */
-void SasSteering_TakeConfig(struct sas_steering *steering,
-                            struct sas_config *config);
+void SasSteering_SetConfig(struct sas_steering *steering,
+                           struct sas_config *config);
 
 /* To be called about once a second. down[region]: none of the region's entry
  * VMs is live; NULL: no region is down. Returns true when a share in force has
@@ -56,12 +56,12 @@
 
 struct sas_steering_query {
     int service;
-    int home;      /* region of the caller */
-    uint64_t key;  /* hash of the object's key */
-    double bytes;  /* of the request */
-    int vms;       /* entry VMs of the home region that share the cap */
-    int rank;      /* index of this one among them, from 0 */
-    bool newcomer; /* joining: the others still use its part of the cap */
+    int home;     /* region of the caller */
+    uint64_t key; /* hash of the object's key */
+    double bytes; /* of the request */
+    int vms;      /* entry VMs of the home region that share the cap */
+    int rank;     /* index of this one among them, from 0 */
+    bool joining; /* joining: the others still use its part of the cap */
 };
 
 /* The region of an object by the shares in force, regardless of caps; home
@@ -78,14 +78,14 @@
 };
 
 /* Returns true when the request must go to another region, grant->to. It is
- * then counted under the cap until SasSteering_End, whose bytes are those of
- * the answer. */
-bool SasSteering_Take(struct sas_steering *steering,
-                      const struct sas_steering_query *query, int64_t now_ms,
-                      struct sas_steering_grant *grant);
-void SasSteering_End(struct sas_steering *steering,
-                     struct sas_steering_grant *grant, double bytes,
-                     int64_t now_ms);
+ * then counted under the cap until SasSteering_Release, whose bytes are those
+ * of the answer. */
+bool SasSteering_Acquire(struct sas_steering *steering,
+                         const struct sas_steering_query *query,
+                         int64_t now_ms, struct sas_steering_grant *grant);
+void SasSteering_Release(struct sas_steering *steering,
+                         struct sas_steering_grant *grant, double bytes,
+                         int64_t now_ms);
 
 /* For status output. Headroom is the free part of the execution slots, 0 to
  * 1; 0 when the region has no open server. */
--- a/packages/core/src/steering.c
+++ b/packages/core/src/steering.c
@@ -68,8 +68,7 @@
 }
 
 void
-SasSteering_TakeConfig(struct sas_steering *steering,
-                       struct sas_config *config)
+SasSteering_SetConfig(struct sas_steering *steering, struct sas_config *config)
 {
     SasConfig_Unref(steering->config);
     steering->config = SasConfig_Ref(config);
@@ -247,7 +246,7 @@
 fits_cap(struct usage *usage, const struct sas_shift *shift,
          const struct sas_steering_query *query, int64_t now_ms)
 {
-    if (query->newcomer && shift->cap_unit != SAS_CAP_NONE) {
+    if (query->joining && shift->cap_unit != SAS_CAP_NONE) {
         return false;
     }
     switch (shift->cap_unit) {
@@ -294,9 +293,9 @@
 }
 
 bool
-SasSteering_Take(struct sas_steering *steering,
-                 const struct sas_steering_query *query, int64_t now_ms,
-                 struct sas_steering_grant *grant)
+SasSteering_Acquire(struct sas_steering *steering,
+                    const struct sas_steering_query *query, int64_t now_ms,
+                    struct sas_steering_grant *grant)
 {
     memset(grant, 0, sizeof(*grant));
     int region = SasSteering_PickRegion(steering, query->service, query->home,
@@ -322,8 +321,9 @@
 }
 
 void
-SasSteering_End(struct sas_steering *steering,
-                struct sas_steering_grant *grant, double bytes, int64_t now_ms)
+SasSteering_Release(struct sas_steering *steering,
+                    struct sas_steering_grant *grant, double bytes,
+                    int64_t now_ms)
 {
     if (!grant->steered) {
         return;
--- a/packages/core/tests/test_steering.c
+++ b/packages/core/tests/test_steering.c
@@ -74,7 +74,7 @@
     struct sas_config *config =
         SasConfig_New(1, "op", "planner", WALL_MS, &sheet, text, &error);
     assert_non_null(config);
-    SasSteering_TakeConfig(f->steering, config);
+    SasSteering_SetConfig(f->steering, config);
     SasSteering_Advance(f->steering, WALL_MS, 1000, NULL);
     return config;
 }
@@ -94,9 +94,9 @@
             .rank = rank,
         };
         struct sas_steering_grant grant;
-        if (SasSteering_Take(f->steering, &query, now_ms, &grant)) {
+        if (SasSteering_Acquire(f->steering, &query, now_ms, &grant)) {
             assert_int_equal(grant.to, f->west);
-            SasSteering_End(f->steering, &grant, 0, now_ms);
+            SasSteering_Release(f->steering, &grant, 0, now_ms);
             assert_false(grant.steered);
             count++;
         }
@@ -148,11 +148,11 @@
     struct sas_config *config =
         accept(f, SasSheet_HEADER "\n+0,desk,east,west,100%,10 req/s,,\n");
     struct sas_steering_query query = {
-        .service = f->desk, .home = f->east, .vms = 1, .newcomer = true};
+        .service = f->desk, .home = f->east, .vms = 1, .joining = true};
     struct sas_steering_grant grant;
-    assert_false(SasSteering_Take(f->steering, &query, 1000, &grant));
-    query.newcomer = false;
-    assert_true(SasSteering_Take(f->steering, &query, 1000, &grant));
+    assert_false(SasSteering_Acquire(f->steering, &query, 1000, &grant));
+    query.joining = false;
+    assert_true(SasSteering_Acquire(f->steering, &query, 1000, &grant));
     SasConfig_Unref(config);
     stop(f);
 }
@@ -167,11 +167,11 @@
     struct sas_steering_query query = {
         .service = f->desk, .home = f->east, .vms = 1};
     struct sas_steering_grant grants[3];
-    assert_true(SasSteering_Take(f->steering, &query, 1000, &grants[0]));
-    assert_true(SasSteering_Take(f->steering, &query, 1000, &grants[1]));
-    assert_false(SasSteering_Take(f->steering, &query, 1000, &grants[2]));
-    SasSteering_End(f->steering, &grants[0], 0, 1001);
-    assert_true(SasSteering_Take(f->steering, &query, 1001, &grants[2]));
+    assert_true(SasSteering_Acquire(f->steering, &query, 1000, &grants[0]));
+    assert_true(SasSteering_Acquire(f->steering, &query, 1000, &grants[1]));
+    assert_false(SasSteering_Acquire(f->steering, &query, 1000, &grants[2]));
+    SasSteering_Release(f->steering, &grants[0], 0, 1001);
+    assert_true(SasSteering_Acquire(f->steering, &query, 1001, &grants[2]));
     SasConfig_Unref(config);
     stop(f);
 }
@@ -230,10 +230,10 @@
     int later = SasFleet_AddService(f->fleet, "vault");
     struct sas_steering_query query = {.service = later, .home = f->east};
     struct sas_steering_grant grant;
-    assert_false(SasSteering_Take(f->steering, &query, 1000, &grant));
+    assert_false(SasSteering_Acquire(f->steering, &query, 1000, &grant));
     SasSnapshot_Add(SasSteering_GetModel(f->steering), f->fleet);
     SasSteering_Advance(f->steering, WALL_MS + 1000, 2000, NULL);
-    assert_false(SasSteering_Take(f->steering, &query, 2000, &grant));
+    assert_false(SasSteering_Acquire(f->steering, &query, 2000, &grant));
     assert_int_equal(count_steered(f, 1, 0, 2000), OBJECTS);
     SasConfig_Unref(config);
     stop(f);
--- a/packages/gateway/src/relay.c
+++ b/packages/gateway/src/relay.c
@@ -122,8 +122,9 @@
 free_call(struct relay_call *call)
 {
     g_queue_unlink(&call->relay->calls, &call->link);
-    SasSteering_End(call->relay->options.steering, &call->grant,
-                    (double)call->answer_body->len, SasRelay_Now(call->relay));
+    SasSteering_Release(call->relay->options.steering, &call->grant,
+                        (double)call->answer_body->len,
+                        SasRelay_Now(call->relay));
     SasFleetConfig_Unref(call->config);
     g_ptr_array_free(call->answer_headers, TRUE);
     g_string_free(call->answer_body, TRUE);
--- a/packages/gateway/src/relay_choose.c
+++ b/packages/gateway/src/relay_choose.c
@@ -313,9 +313,9 @@
         .bytes = (double)size,
         .vms = senders.count,
         .rank = senders.rank,
-        .newcomer = !senders.has_share,
+        .joining = !senders.has_share,
     };
-    SasSteering_Take(options->steering, &query, now_ms, &call->grant);
+    SasSteering_Acquire(options->steering, &query, now_ms, &call->grant);
 }
 
 static struct sas_admission_decision
--- a/packages/node/src/sheet_task.c
+++ b/packages/node/src/sheet_task.c
@@ -119,7 +119,7 @@
     if (config == NULL) {
         return; /* the store has no version */
     }
-    SasSteering_TakeConfig(task->options.steering, config);
+    SasSteering_SetConfig(task->options.steering, config);
     SasMesh_NoteSheet(SasGateway_GetMesh(task->options.gateway),
                       config->number);
     advance(task);
