--- a/packages/core/include/sas/config.h
+++ b/packages/core/include/sas/config.h
@@ -23,10 +23,10 @@
 
 #define SasConfig_NAME_SIZE 65 /* of operation and operator, with the NUL */
 #define SasConfig_MAX_BYTES (16 * 1024 * 1024)
-#define SasConfig_MAX_NUMBER INT64_C(9007199254740991) /* 2^53 - 1 */
+#define SasConfig_MAX_VERSION INT64_C(9007199254740991) /* 2^53 - 1 */
 
 struct sas_config {
-    int64_t number; /* version, from 1 up; only rises */
+    int64_t version; /* version, from 1 up; only rises */
     char operation[SasConfig_NAME_SIZE];
     char operator_name[SasConfig_NAME_SIZE];
     int64_t accepted_ms; /* since the epoch */
--- a/packages/core/src/config.c
+++ b/packages/core/src/config.c
@@ -47,7 +47,7 @@
               struct sas_sheet *sheet, const char *sheet_text,
               struct sas_error *error)
 {
-    if (version < 1 || version > SasConfig_MAX_NUMBER || accepted_ms < 0 ||
+    if (version < 1 || version > SasConfig_MAX_VERSION || accepted_ms < 0 ||
         accepted_ms > SasSheet_MAX_AT_MS) {
         SasError_Set(error, SAS_EINVAL, STEP, "",
                      "version %" PRId64 " or its time is out of range",
@@ -63,7 +63,7 @@
         return NULL;
     }
     struct sas_config *config = g_atomic_rc_box_new0(struct sas_config);
-    config->number = version;
+    config->version = version;
     g_strlcpy(config->operation, operation, SasConfig_NAME_SIZE);
     g_strlcpy(config->operator_name, operator_name, SasConfig_NAME_SIZE);
     config->accepted_ms = accepted_ms;
@@ -187,7 +187,7 @@
 encode_head(const struct sas_config *config)
 {
     return json_pack("{s:I,s:s,s:s,s:I}", "version",
-                     (json_int_t)config->number, "operation",
+                     (json_int_t)config->version, "operation",
                      config->operation, "operator", config->operator_name,
                      "accepted_ms", (json_int_t)config->accepted_ms);
 }
@@ -238,7 +238,7 @@
     json_auto_t *old_lines = split_lines(base->sheet_text);
     json_auto_t *new_lines = split_lines(config->sheet_text);
     json_auto_t *json = encode_head(config);
-    json_object_set_new(json, "base", json_integer(base->number));
+    json_object_set_new(json, "base", json_integer(base->version));
     json_object_set_new(json, "base_digest", json_string(base_digest));
     json_object_set_new(json, "digest", json_string(digest));
     json_object_set_new(json, "rows", diff(old_rows, new_rows));
@@ -262,11 +262,11 @@
         return -1;
     }
     format_digest(actual, SasConfig_GetDigest(base, model));
-    if (version != base->number || strcmp(base_digest, actual) != 0) {
+    if (version != base->version || strcmp(base_digest, actual) != 0) {
         SasError_Set(error, SAS_ECONFLICT, DELTA_STEP, "",
                      "base mismatch (version or digest): delta from version "
                      "%" PRId64 ", applied to version %" PRId64,
-                     (int64_t)version, base->number);
+                     (int64_t)version, base->version);
         return -1;
     }
     json_object_del(json, "base");
--- a/packages/core/src/plan.c
+++ b/packages/core/src/plan.c
@@ -41,7 +41,7 @@
     size_t cells = (size_t)model->service_count * model->region_count;
     memset(plan, 0, sizeof(*plan));
     plan->model = model;
-    plan->version = config->number;
+    plan->version = config->version;
     plan->accepted_ms = config->accepted_ms;
     plan->fresh = old.version == 0;
     plan->started = old.started;
--- a/packages/core/tests/property_shim.c
+++ b/packages/core/tests/property_shim.c
@@ -14,7 +14,7 @@
 #include "sas/sheet.h"
 #include "steering_fixture.h"
 
-struct sas_config *SasShim_MakeConfig(int64_t number, const char *rows,
+struct sas_config *SasShim_MakeConfig(int64_t version, const char *rows,
                                       int64_t now_ms,
                                       struct sas_sheet_error *error);
 int SasShim_GetRowCount(const struct sas_config *config);
@@ -28,7 +28,7 @@
                                       const char *text, size_t size);
 struct sas_plan *SasShim_MakePlan(void);
 void SasShim_FreePlan(struct sas_plan *plan);
-int SasShim_BuildPlan(struct sas_plan *plan, int64_t number, const char *rows,
+int SasShim_BuildPlan(struct sas_plan *plan, int64_t version, const char *rows,
                       int64_t now_ms);
 void SasShim_Advance(struct sas_plan *plan, int64_t wall_ms,
                      int64_t monotonic_ms, const double *headroom,
@@ -39,7 +39,7 @@
 /* Configurations. */
 
 struct sas_config *
-SasShim_MakeConfig(int64_t number, const char *rows, int64_t now_ms,
+SasShim_MakeConfig(int64_t version, const char *rows, int64_t now_ms,
                    struct sas_sheet_error *error)
 {
     struct sas_sheet sheet;
@@ -48,7 +48,7 @@
                        error) < 0) {
         return NULL;
     }
-    return SasConfig_New(number, "op", "amina", now_ms, &sheet, text, NULL);
+    return SasConfig_New(version, "op", "amina", now_ms, &sheet, text, NULL);
 }
 
 int
@@ -115,12 +115,12 @@
 }
 
 int
-SasShim_BuildPlan(struct sas_plan *plan, int64_t number, const char *rows,
+SasShim_BuildPlan(struct sas_plan *plan, int64_t version, const char *rows,
                   int64_t now_ms)
 {
     struct sas_sheet_error error;
     struct sas_config *config =
-        SasShim_MakeConfig(number, rows, now_ms, &error);
+        SasShim_MakeConfig(version, rows, now_ms, &error);
     if (config == NULL) {
         return -1;
     }
--- a/packages/core/tests/test_config.c
+++ b/packages/core/tests/test_config.c
@@ -13,7 +13,7 @@
 #define NOW INT64_C(1764680000000)
 
 static struct sas_config *
-make_config(int64_t number, const char *rows)
+make_config(int64_t version, const char *rows)
 {
     struct sas_sheet sheet;
     struct sas_sheet_error reason;
@@ -21,7 +21,7 @@
     assert_int_equal(
         SasSheet_Parse(&sheet, &fixture, text, strlen(text), NOW, 0, &reason),
         0);
-    return SasConfig_New(number, "op-1", "amina", NOW, &sheet, text, NULL);
+    return SasConfig_New(version, "op-1", "amina", NOW, &sheet, text, NULL);
 }
 
 static void
--- a/packages/core/tests/test_plan.c
+++ b/packages/core/tests/test_plan.c
@@ -31,7 +31,7 @@
 }
 
 static struct sas_config *
-make_config(int64_t number, const char *rows)
+make_config(int64_t version, const char *rows)
 {
     struct sas_sheet sheet;
     struct sas_sheet_error reason;
@@ -39,13 +39,13 @@
     assert_int_equal(
         SasSheet_Parse(&sheet, &fixture, text, strlen(text), NOW, 0, &reason),
         0);
-    return SasConfig_New(number, "op", "amina", NOW, &sheet, text, NULL);
+    return SasConfig_New(version, "op", "amina", NOW, &sheet, text, NULL);
 }
 
 static void
-build(struct sas_plan *plan, int64_t number, const char *rows)
+build(struct sas_plan *plan, int64_t version, const char *rows)
 {
-    struct sas_config *config = make_config(number, rows);
+    struct sas_config *config = make_config(version, rows);
     SasPlan_Build(plan, &fixture, config);
     SasConfig_Unref(config);
 }
--- a/packages/node/src/admin.c
+++ b/packages/node/src/admin.c
@@ -28,8 +28,8 @@
  * once the request's memory is gone. */
 struct admin_call {
     struct sas_put_listener put_listener; /* first */
-    struct sas_history_listener
-        history_listener; /* for history and operations */
+    /* for history and operations */
+    struct sas_history_listener history_listener;
     struct sas_admin *admin;
     h2o_req_t *req;
     struct admin_link *link;
@@ -333,7 +333,7 @@
         return answer_reason(req, 404, "not-found", "no sheet is in force");
     }
     char etag[32];
-    snprintf(etag, sizeof(etag), "\"%" G_GINT64_FORMAT "\"", config->number);
+    snprintf(etag, sizeof(etag), "\"%" G_GINT64_FORMAT "\"", config->version);
     SasH2oServer_AddHeader(req, "etag", etag);
     SasH2oServer_Answer(req, 200, "text/csv", config->sheet_text,
                         strlen(config->sheet_text));
--- a/packages/node/src/config_store.c
+++ b/packages/node/src/config_store.c
@@ -138,10 +138,10 @@
                             struct sas_config *config)
 {
     int64_t number =
-        config_store->current != NULL ? config_store->current->number : 0;
+        config_store->current != NULL ? config_store->current->version : 0;
     /* Reads of the store may be stale, and peers may lag. A lower version
      * would revert a change that was already accepted. */
-    if (!SasConfig_MayReplace(number, config->number)) {
+    if (!SasConfig_MayReplace(number, config->version)) {
         return false;
     }
     SasConfig_Unref(config_store->current);
@@ -149,7 +149,7 @@
     config_store->head_known = true;
     SasLog_Write(SasLog_INFO, "config.adopt", NULL,
                  "version %" G_GINT64_FORMAT " of operation %s is in force",
-                 config->number, config->operation);
+                 config->version, config->operation);
     config_store->options.listener->on_config(config_store->options.listener,
                                               config);
     return true;
@@ -212,7 +212,7 @@
     int64_t version = json_integer_value(json_object_get(head, "version"));
     const char *object = json_string_value(json_object_get(head, "object"));
     int64_t current =
-        config_store->current != NULL ? config_store->current->number : 0;
+        config_store->current != NULL ? config_store->current->version : 0;
     if (object == NULL || !SasConfig_MayReplace(current, version)) {
         json_decref(head);
         return;
@@ -504,11 +504,11 @@
     json_array_append_new(
         history,
         json_pack("{s:I, s:s, s:s, s:I, s:s}", "version",
-                  (json_int_t)config->number, "operation", config->operation,
+                  (json_int_t)config->version, "operation", config->operation,
                   "operator", config->operator_name, "accepted_ms",
                   (json_int_t)config->accepted_ms, "digest", digest));
     json_t *head = json_pack(
-        "{s:I, s:s, s:s, s:s, s:o}", "version", (json_int_t)config->number,
+        "{s:I, s:s, s:s, s:s, s:o}", "version", (json_int_t)config->version,
         "operation", config->operation, "operator", config->operator_name,
         "object", put->object_key, "history", history);
     char *text = json_dumps(head, JSON_COMPACT);
@@ -524,7 +524,7 @@
     g_free(put->object_key);
     char *text = SasConfig_Encode(put->config, options->model);
     put->object_key = g_strdup_printf(
-        "config/%" G_GINT64_FORMAT "-%s-%016" PRIx64, put->config->number,
+        "config/%" G_GINT64_FORMAT "-%s-%016" PRIx64, put->config->version,
         put->config->operation, XXH3_64bits(text, strlen(text)));
     put->step = PUT_WRITE_OBJECT;
     SasStore_Write(options->store, SAS_STORE_OBJECT, put->object_key, text,
@@ -586,7 +586,7 @@
     }
     int64_t version =
         json_integer_value(json_object_get(put->head, "version"));
-    bool moved = put->config != NULL && version >= put->config->number;
+    bool moved = put->config != NULL && version >= put->config->version;
     bool other_base =
         put->request.if_version >= 0 && put->request.if_version != version;
     if (moved || other_base) {
@@ -600,7 +600,7 @@
     /* A drain keeps the rows in force, so it waits until this node has adopted
      * the version that the head names. */
     int64_t current =
-        config_store->current != NULL ? config_store->current->number : 0;
+        config_store->current != NULL ? config_store->current->version : 0;
     if (put->sheet == NULL && current != version) {
         read_head_later(put);
         return;
@@ -651,7 +651,7 @@
     case PUT_WRITE_HEAD:
         if (result->status == SAS_STORE_OK) {
             adopt_written(put);
-            end_put_done(put, put->config->number);
+            end_put_done(put, put->config->version);
             return;
         }
         put->uncertain |= result->status == SAS_STORE_UNKNOWN;
--- a/packages/node/src/peer_sync.c
+++ b/packages/node/src/peer_sync.c
@@ -226,7 +226,7 @@
     struct sas_peer_sync *sync = (struct sas_peer_sync *)handler;
     const struct sas_config *current =
         SasConfigStore_GetCurrent(sync->options.config_store);
-    if (current == NULL || (uint64_t)current->number <= have) {
+    if (current == NULL || (uint64_t)current->version <= have) {
         config->number = 0;
         return 0;
     }
@@ -237,7 +237,7 @@
     if (size > SAS_RPC_MAX_CONFIG) {
         return -1; /* too large for a message; peers read it from the store */
     }
-    config->number = (uint64_t)current->number;
+    config->number = (uint64_t)current->version;
     config->base = 0;
     config->bytes.bytes_val = sync->config_text;
     config->bytes.bytes_len = (u_int)size;
--- a/packages/node/src/router_updates.c
+++ b/packages/node/src/router_updates.c
@@ -38,7 +38,7 @@
     static const struct sas_config empty = {.sheet_text = ""};
     SasPlan_Build(&router->plan, router->model,
                   config != NULL ? config : &empty);
-    router->version = config != NULL ? config->number : 0;
+    router->version = config != NULL ? config->version : 0;
     router->has_config = true;
     SasRouterState_Advance(router);
     SasRouterState_RebuildLookups(router);
--- a/packages/node/src/sheet_task.c
+++ b/packages/node/src/sheet_task.c
@@ -46,7 +46,7 @@
 {
     const struct sas_config *config =
         SasConfigStore_GetCurrent(task->config_store);
-    return config != NULL ? config->number : 0;
+    return config != NULL ? config->version : 0;
 }
 
 /* Versions. */
@@ -121,7 +121,7 @@
     }
     SasSteering_SetConfig(task->options.steering, config);
     SasMesh_NoteSheet(SasGateway_GetMesh(task->options.gateway),
-                      config->number);
+                      config->version);
     advance(task);
 }
 
