--- a/packages/core/include/sas/error.h
+++ b/packages/core/include/sas/error.h
@@ -7,7 +7,7 @@
 #ifndef SAS_ERROR_H
 #define SAS_ERROR_H
 
-enum sas_code {
+enum sas_error_code {
     SAS_OK = 0,
     SAS_EINVAL,      /* invalid input; the text names the place */
     SAS_EIO,         /* a socket or file operation failed */
@@ -20,14 +20,14 @@
 };
 
 struct sas_error {
-    enum sas_code code;
+    enum sas_error_code code;
     char step[32];  /* failed operation, for example "store.cas" */
     char peer[64];  /* the remote end, "" when there is none */
     char text[256]; /* for people */
 };
 
 /* Fills in *error; a NULL error is allowed and ignored. */
-void SasError_Set(struct sas_error *error, enum sas_code code,
+void SasError_Set(struct sas_error *error, enum sas_error_code code,
                   const char *step, const char *peer, const char *format, ...)
     __attribute__((format(printf, 5, 6)));
 
@@ -35,6 +35,6 @@
 void SasError_Clear(struct sas_error *error);
 
 /* The short lower-case name of a code, for logs and JSON. */
-const char *SasError_GetName(enum sas_code code);
+const char *SasError_GetName(enum sas_error_code code);
 
 #endif
--- a/packages/core/src/error.c
+++ b/packages/core/src/error.c
@@ -5,8 +5,8 @@
 #include <string.h>
 
 void
-SasError_Set(struct sas_error *error, enum sas_code code, const char *step,
-             const char *peer, const char *format, ...)
+SasError_Set(struct sas_error *error, enum sas_error_code code,
+             const char *step, const char *peer, const char *format, ...)
 {
     if (error == NULL) {
         return;
@@ -27,7 +27,7 @@
 }
 
 const char *
-SasError_GetName(enum sas_code code)
+SasError_GetName(enum sas_error_code code)
 {
     switch (code) {
     case SAS_OK:
--- a/packages/net/src/http.c
+++ b/packages/net/src/http.c
@@ -60,7 +60,7 @@
 static _Thread_local char read_buffer[READ_BUFFER_SIZE];
 
 static void begin_write(struct sas_http_conn *conn);
-static void fail(struct sas_http_conn *conn, enum sas_code code,
+static void fail(struct sas_http_conn *conn, enum sas_error_code code,
                  const char *step, const char *text);
 static void on_alloc(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer);
 static void on_read(uv_stream_t *stream, ssize_t count, const uv_buf_t *data);
@@ -340,7 +340,7 @@
 
 /* Closes the connection and reports the failure to its user, if any. */
 static void
-fail(struct sas_http_conn *conn, enum sas_code code, const char *step,
+fail(struct sas_http_conn *conn, enum sas_error_code code, const char *step,
      const char *text)
 {
     struct sas_http_user *user = conn->user;
--- a/packages/peer/src/call.c
+++ b/packages/peer/src/call.c
@@ -15,7 +15,7 @@
                    const struct sas_error *error,
                    const union sas_proto_body *body);
 static void fail(struct sas_peer *peer, struct sas_call *call,
-                 enum sas_code code, const char *text);
+                 enum sas_error_code code, const char *text);
 static GArray *collect_xids(const struct sas_peer *peer);
 
 /* Calls */
@@ -294,7 +294,7 @@
 }
 
 static void
-fail(struct sas_peer *peer, struct sas_call *call, enum sas_code code,
+fail(struct sas_peer *peer, struct sas_call *call, enum sas_error_code code,
      const char *text)
 {
     struct sas_error error;
--- a/packages/peer/tests/test_peer.c
+++ b/packages/peer/tests/test_peer.c
@@ -301,7 +301,7 @@
 
 static int answers;
 static uint64_t granted;
-static enum sas_code answer_code;
+static enum sas_error_code answer_code;
 
 static void
 on_grant(void *context, const struct sas_error *error,
--- a/packages/settings/tests/test_secret.c
+++ b/packages/settings/tests/test_secret.c
@@ -36,7 +36,7 @@
 }
 
 static void
-assert_refused(const char *path, enum sas_code code)
+assert_refused(const char *path, enum sas_error_code code)
 {
     struct sas_error error = {0};
     assert_null(SasSecret_Load(path, &error));
