--- a/packages/core/include/sas/fleet.h
+++ b/packages/core/include/sas/fleet.h
@@ -90,7 +90,7 @@
     int max_connections; /* that a server accepts, from all entry VMs */
     double cold_per_s;   /* rate that a cold server can handle; 0: no limit */
     int64_t cold_ms;     /* how long a server is cold after its start */
-    double goal_ms;      /* longest latency objective of its routes; 0: none */
+    double objective_ms; /* longest latency objective of its routes; 0: none */
     /* service time over all its routes */
     struct sas_service_time service_time;
     GArray *servers; /* int, table slots of its present servers */
@@ -115,13 +115,13 @@
     enum sas_route_kind kind;
     int64_t timeout_ms; /* 0: only the caller's deadline counts */
     int64_t target_latency_ms;
-    int priority; /* 0 is the highest */
-    bool urgent;  /* high priority: another route has a lower one; set by
-                     ApplyConfig */
+    int priority;       /* 0 is the highest */
+    bool high_priority; /* high priority: another route has a lower one; set by
+                           ApplyConfig */
     int max_attempts;
     bool sticky;
-    GArray *parts;  /* struct sas_route_part, at least one */
-    uint64_t homes; /* allowed regions, one bit each; 0: any */
+    GArray *parts;            /* struct sas_route_part, at least one */
+    uint64_t allowed_regions; /* allowed regions, one bit each; 0: any */
 };
 
 struct sas_caller_limits {
--- a/packages/core/src/fleet.c
+++ b/packages/core/src/fleet.c
@@ -284,7 +284,7 @@
     }
     for (guint i = 0; i < config->routes->len; i++) {
         struct sas_route *route = config->routes->pdata[i];
-        route->urgent = route->priority < lowest;
+        route->high_priority = route->priority < lowest;
     }
 }
 
@@ -300,10 +300,10 @@
             struct sas_fleet_service *service = SasFleet_GetService(
                 fleet, g_array_index(route->parts, struct sas_route_part, part)
                            .service);
-            if ((double)route->target_latency_ms > service->goal_ms) {
-                service->goal_ms = (double)route->target_latency_ms;
+            if ((double)route->target_latency_ms > service->objective_ms) {
+                service->objective_ms = (double)route->target_latency_ms;
                 SasServiceTime_SetObjective(&service->service_time,
-                                            service->goal_ms);
+                                            service->objective_ms);
             }
         }
     }
--- a/packages/core/tests/test_fleet.c
+++ b/packages/core/tests/test_fleet.c
@@ -218,8 +218,8 @@
         SasFleetConfig_AddRoute(config, "low", "x.example", "/b/");
     low->priority = 2;
     assert_true(SasFleet_ApplyConfig(fleet, config, 100));
-    assert_true(high->urgent);
-    assert_false(low->urgent);
+    assert_true(high->high_priority);
+    assert_false(low->high_priority);
     SasFleet_Free(fleet);
 }
 
--- a/packages/gateway/src/gateway.c
+++ b/packages/gateway/src/gateway.c
@@ -99,7 +99,7 @@
     int count = 0;
     for (guint i = 0; i < config->routes->len; i++) {
         const struct sas_route *route = config->routes->pdata[i];
-        count += route->homes != 0 ? 1 : 0;
+        count += route->allowed_regions != 0 ? 1 : 0;
     }
     return count;
 }
--- a/packages/gateway/src/relay.c
+++ b/packages/gateway/src/relay.c
@@ -165,7 +165,7 @@
         "config_age_ms",
         (json_int_t)(call->config != NULL ? now_ms - call->config->applied_at
                                           : 0),
-        "homes", routed && call->route->homes != 0);
+        "homes", routed && call->route->allowed_regions != 0);
 }
 
 static void
--- a/packages/gateway/src/relay_choose.c
+++ b/packages/gateway/src/relay_choose.c
@@ -330,7 +330,7 @@
         .objective_ms =
             (double)(call->began_at + get_objective(call) - now_ms),
         .left_ms = (double)(call->deadline_at - now_ms),
-        .high_priority = call->route->urgent,
+        .high_priority = call->route->high_priority,
         .rows_stale = call->relay->rows_stale,
     };
     return SasAdmission_Decide(call->relay->options.fleet, &query, now_ms);
@@ -362,7 +362,7 @@
         .near = prefers_zone(call),
         .keep = get_zone_share(call, now_ms),
         .key = call->key,
-        .homes = call->route->homes,
+        .homes = call->route->allowed_regions,
         .ordered = call->grant.steered,
         .to_region = call->grant.to,
     };
