--- a/packages/core/include/sas/owner.h
+++ b/packages/core/include/sas/owner.h
@@ -28,14 +28,16 @@
 
 struct sas_owner_query {
     int service;
-    int zone;       /* of the caller */
-    bool near;      /* rank the caller's zone before the rest of its region */
-    double keep;    /* part of the objects that stay in the caller's region;
-                       0: by its execution slots */
-    uint64_t key;   /* hash of the object */
-    uint64_t homes; /* allowed regions, one bit each; 0: any */
-    bool ordered;   /* operators steer it to to_region, if that has servers */
-    int to_region;
+    int zone; /* of the caller */
+    /* rank the caller's zone before the rest of its region */
+    bool prefer_zone;
+    double zone_share; /* part of the objects that stay in the caller's region;
+                          0: by its execution slots */
+    uint64_t key;      /* hash of the object */
+    uint64_t allowed_regions; /* allowed regions, one bit each; 0: any */
+    bool steered; /* operators steer it to steered_region, if that has servers
+                   */
+    int steered_region;
 };
 
 /* Fills slots with the object's servers, the owner first, and returns their
--- a/packages/core/src/owner.c
+++ b/packages/core/src/owner.c
@@ -46,7 +46,8 @@
         return false;
     }
     int region = SasFleet_GetServerRegion(fleet, slot);
-    return query->homes == 0 || (query->homes >> region & 1) != 0;
+    return query->allowed_regions == 0 ||
+           (query->allowed_regions >> region & 1) != 0;
 }
 
 /* Sums the execution slots of the service's servers that requests may go to,
@@ -104,21 +105,21 @@
     double slots[SasModel_MAX_REGIONS];
     double sum = sum_slots(fleet, query, now_ms, slots);
     int count = SasFleet_CountRegions(fleet);
-    if (query->ordered && slots[query->to_region] > 0) {
-        return query->to_region;
+    if (query->steered && slots[query->steered_region] > 0) {
+        return query->steered_region;
     }
     double share = sum / count;
-    double keep = share > 0 ? slots[home] / share : 1;
-    if (query->keep > 0 && slots[home] > 0) {
-        keep = query->keep;
+    double home_share = share > 0 ? slots[home] / share : 1;
+    if (query->zone_share > 0 && slots[home] > 0) {
+        home_share = query->zone_share;
     }
     double unit = to_unit(mix(query->key, (uint64_t)home, REGION_SEED));
-    if (unit < keep) {
+    if (unit < home_share) {
         return home;
     }
     /* Here unit is uniform in [keep, 1). */
-    int region =
-        pick_spare_region(slots, count, share, (unit - keep) / (1 - keep));
+    int region = pick_spare_region(slots, count, share,
+                                   (unit - home_share) / (1 - home_share));
     return region == SasModel_NONE ? home : region;
 }
 
@@ -132,7 +133,7 @@
     const struct sas_fleet_server *server = SasFleet_At(fleet, slot);
     int server_region = SasFleet_GetServerRegion(fleet, slot);
     if (server_region == region) {
-        return query->near && server->zone == query->zone ? 0 : 1;
+        return query->prefer_zone && server->zone == query->zone ? 0 : 1;
     }
     return server_region == home ? 2 : 3;
 }
--- a/packages/core/tests/property_shim.c
+++ b/packages/core/tests/property_shim.c
@@ -179,18 +179,19 @@
 /* Calls SasOwner_Rank. numbers: service, the caller's zone, prefer zone,
  * steered, steered region. */
 int
-SasShim_Rank(const struct sas_fleet *fleet, const int *numbers, double keep,
-             uint64_t key, uint64_t homes, int *slots)
+SasShim_Rank(const struct sas_fleet *fleet, const int *numbers,
+             double zone_share, uint64_t key, uint64_t allowed_regions,
+             int *slots)
 {
     struct sas_owner_query query = {
         .service = numbers[0],
         .zone = numbers[1],
-        .near = numbers[2] != 0,
-        .ordered = numbers[3] != 0,
-        .to_region = numbers[4],
-        .keep = keep,
+        .prefer_zone = numbers[2] != 0,
+        .steered = numbers[3] != 0,
+        .steered_region = numbers[4],
+        .zone_share = zone_share,
         .key = key,
-        .homes = homes,
+        .allowed_regions = allowed_regions,
     };
     return SasOwner_Rank(fleet, &query, 0, slots, SasOwner_MAX_CANDIDATES);
 }
--- a/packages/core/tests/test_owner.c
+++ b/packages/core/tests/test_owner.c
@@ -147,8 +147,8 @@
     add_servers(fleet, "forms", "c", 6);
     for (int i = 0; i < OBJECTS; i++) {
         struct sas_owner_query query = make_query(fleet, "a", i);
-        query.near = true;
-        query.keep = 1;
+        query.prefer_zone = true;
+        query.zone_share = 1;
         int slots[2];
         assert_int_equal(SasOwner_Rank(fleet, &query, 0, slots, 2), 2);
         assert_int_equal(slots[0], SasFleet_FindServer(fleet, "forms-a-0"));
@@ -168,11 +168,11 @@
     struct sas_fleet *fleet = new_fleet();
     add_servers(fleet, "forms", "c", 3);
     struct sas_owner_query query = make_query(fleet, "a", 1);
-    query.homes = 1ULL << SasFleet_FindRegion(fleet, "east");
+    query.allowed_regions = 1ULL << SasFleet_FindRegion(fleet, "east");
     int slots[SasOwner_MAX_CANDIDATES];
     assert_int_equal(
         SasOwner_Rank(fleet, &query, 0, slots, SasOwner_MAX_CANDIDATES), 0);
-    query.homes |= 1ULL << SasFleet_FindRegion(fleet, "north");
+    query.allowed_regions |= 1ULL << SasFleet_FindRegion(fleet, "north");
     assert_int_equal(
         SasOwner_Rank(fleet, &query, 0, slots, SasOwner_MAX_CANDIDATES), 3);
     SasFleet_Free(fleet);
--- a/packages/gateway/src/relay_choose.c
+++ b/packages/gateway/src/relay_choose.c
@@ -359,12 +359,12 @@
     struct sas_owner_query query = {
         .service = call->service,
         .zone = SasMesh_GetOwnZone(relay->options.mesh),
-        .near = prefers_zone(call),
-        .keep = get_zone_share(call, now_ms),
+        .prefer_zone = prefers_zone(call),
+        .zone_share = get_zone_share(call, now_ms),
         .key = call->key,
-        .homes = call->route->allowed_regions,
-        .ordered = call->grant.steered,
-        .to_region = call->grant.to,
+        .allowed_regions = call->route->allowed_regions,
+        .steered = call->grant.steered,
+        .steered_region = call->grant.to,
     };
     int slots[SasOwner_MAX_CANDIDATES];
     int count =
--- a/packages/gateway/src/view.c
+++ b/packages/gateway/src/view.c
@@ -97,9 +97,9 @@
     };
     int home = SasFleet_GetZone(fleet, query.zone)->region;
     if (query.service != SasModel_NONE) {
-        query.to_region = SasSteering_PickRegion(
+        query.steered_region = SasSteering_PickRegion(
             options->steering, query.service, home, query.key);
-        query.ordered = query.to_region != home;
+        query.steered = query.steered_region != home;
     }
     int slots[SasOwner_MAX_CANDIDATES];
     int count = query.service == SasModel_NONE
