--- a/packages/node/src/peer_sync.c
+++ b/packages/node/src/peer_sync.c
@@ -73,12 +73,12 @@
     struct sas_peer_sync *sync = g_new0(struct sas_peer_sync, 1);
     sync->options = *options;
     sync->handler.fill_gossip = fill_gossip;
-    sync->handler.take_gossip = apply_gossip;
+    sync->handler.apply_gossip = apply_gossip;
     sync->handler.provide_config = provide_config;
-    sync->handler.take_config = adopt_config;
-    sync->handler.take_quarantines = apply_quarantines;
+    sync->handler.apply_config = adopt_config;
+    sync->handler.apply_quarantines = apply_quarantines;
     sync->handler.answer_borrow = answer_borrow;
-    sync->handler.take_return = accept_return;
+    sync->handler.accept_return = accept_return;
     sync->handler.answer_disown = answer_disown;
     sync->loads = g_new0(struct own_report, model->backend_count);
     sync->gossip_loads = g_new0(struct sas_rpc_load, model->backend_count);
--- a/packages/peer/include/sas/peer.h
+++ b/packages/peer/include/sas/peer.h
@@ -32,7 +32,7 @@
 
 #define SasPeer_MAX_CALLS 32             /* pending, to one peer */
 #define SasPeer_MAX_QUEUED (1024 * 1024) /* unsent bytes of a connection */
-#define SasPeer_CONNECTIONS_PER_SEAT 4   /* accepted from its address */
+#define SasPeer_CONNECTIONS_PER_MEMBER 4 /* accepted from its address */
 #define SasPeer_SPARE_CONNECTIONS 64     /* accepted beyond 2 per member */
 #define SasPeer_RUMOR_FANOUT 3           /* peers in an extra round (rumor) */
 #define SasPeer_RUMOR_BURST 4            /* extra rounds without a wait */
@@ -45,31 +45,31 @@
     void (*fill_gossip)(struct sas_peer_handler *handler,
                         struct sas_rpc_gossip *gossip);
     /* True if it contains something new, which starts an extra round. */
-    bool (*take_gossip)(struct sas_peer_handler *handler, int member_id,
-                        const struct sas_rpc_gossip *gossip);
+    bool (*apply_gossip)(struct sas_peer_handler *handler, int member_id,
+                         const struct sas_rpc_gossip *gossip);
     /* Sets the configuration in force, or a delta to it, if its version is
      * higher than `have`. */
     int (*provide_config)(struct sas_peer_handler *handler, uint64_t have,
                           struct sas_rpc_config *config);
     /* True if the configuration was adopted. */
-    bool (*take_config)(struct sas_peer_handler *handler, int member_id,
-                        const struct sas_rpc_config *config);
+    bool (*apply_config)(struct sas_peer_handler *handler, int member_id,
+                         const struct sas_rpc_config *config);
     /* Returns the units lent, 0 for none; the lender must have lowered its
      * share before. */
     uint64_t (*answer_borrow)(struct sas_peer_handler *handler, int member_id,
                               const struct sas_rpc_borrow *borrow);
-    int (*take_return)(struct sas_peer_handler *handler, int member_id,
-                       const struct sas_rpc_return *back);
+    int (*accept_return)(struct sas_peer_handler *handler, int member_id,
+                         const struct sas_rpc_return *back);
     /* Leaves those rows in the list of which no loan of the member is held
      * here. */
     void (*answer_disown)(struct sas_peer_handler *handler, int member_id,
                           struct sas_rpc_disown_list *rows);
     /* True if an entry is new here. */
-    bool (*take_quarantines)(struct sas_peer_handler *handler, int member_id,
-                             const struct sas_rpc_quarantine *entries,
-                             int count);
-    bool (*take_leaving)(struct sas_peer_handler *handler, int member_id,
-                         const struct sas_rpc_leaving *leaving);
+    bool (*apply_quarantines)(struct sas_peer_handler *handler, int member_id,
+                              const struct sas_rpc_quarantine *entries,
+                              int count);
+    bool (*apply_leaving)(struct sas_peer_handler *handler, int member_id,
+                          const struct sas_rpc_leaving *leaving);
 };
 
 struct sas_peer_options {
--- a/packages/peer/src/connection.c
+++ b/packages/peer/src/connection.c
@@ -512,7 +512,7 @@
         same_address += memcmp(other->address, connection->address, 16) == 0;
     }
     int total = 2 * peer->model->vm_count + SasPeer_SPARE_CONNECTIONS;
-    if (same_address >= members * SasPeer_CONNECTIONS_PER_SEAT ||
+    if (same_address >= members * SasPeer_CONNECTIONS_PER_MEMBER ||
         (int)peer->accepted->len >= total) {
         SasConnection_Close(connection, SAS_PEER_REFUSED_LIMIT);
         return false;
--- a/packages/peer/src/gossip.c
+++ b/packages/peer/src/gossip.c
@@ -179,8 +179,9 @@
                 const struct sas_rpc_gossip *gossip)
 {
     int changes = merge_members(peer, member_id, gossip);
-    bool is_new = peer->handler->take_gossip != NULL &&
-                  peer->handler->take_gossip(peer->handler, member_id, gossip);
+    bool is_new =
+        peer->handler->apply_gossip != NULL &&
+        peer->handler->apply_gossip(peer->handler, member_id, gossip);
     if (is_newer(peer, gossip->config_version)) {
         fetch_config(peer, member_id);
     }
@@ -193,12 +194,12 @@
 SasGossip_ApplyQuarantines(struct sas_peer *peer, int member_id,
                            const struct sas_rpc_quarantine_list *list)
 {
-    if (peer->handler->take_quarantines == NULL) {
+    if (peer->handler->apply_quarantines == NULL) {
         return;
     }
-    if (peer->handler->take_quarantines(peer->handler, member_id,
-                                        list->entries.entries_val,
-                                        (int)list->entries.entries_len)) {
+    if (peer->handler->apply_quarantines(peer->handler, member_id,
+                                         list->entries.entries_val,
+                                         (int)list->entries.entries_len)) {
         SasPeer_SendQuarantines(peer, list->entries.entries_val,
                                 (int)list->entries.entries_len);
     }
@@ -209,8 +210,8 @@
                        const struct sas_rpc_leaving *leaving)
 {
     bool is_new =
-        peer->handler->take_leaving != NULL &&
-        peer->handler->take_leaving(peer->handler, member_id, leaving);
+        peer->handler->apply_leaving != NULL &&
+        peer->handler->apply_leaving(peer->handler, member_id, leaving);
     if (leaving->seat < (u_int)peer->model->vm_count &&
         leaving->seat != (u_int)peer->own_id) {
         struct sas_member_update update = {
@@ -392,12 +393,13 @@
             peer->fetching_from[i] = SasModel_NONE;
         }
     }
-    if (error != NULL || peer->closing || peer->handler->take_config == NULL ||
+    if (error != NULL || peer->closing ||
+        peer->handler->apply_config == NULL ||
         body->config.number <= peer->own_version) {
         return;
     }
-    if (peer->handler->take_config(peer->handler, pending->member_id,
-                                   &body->config)) {
+    if (peer->handler->apply_config(peer->handler, pending->member_id,
+                                    &body->config)) {
         SasPeer_Count(peer, SAS_PEER_CONFIGS_TAKEN);
         SasPeer_NoteChange(peer);
     }
--- a/packages/peer/src/peer.c
+++ b/packages/peer/src/peer.c
@@ -538,8 +538,8 @@
 serve_return(struct sas_peer *peer, int member_id,
              const struct sas_rpc_return *back)
 {
-    if (peer->handler->take_return == NULL) {
+    if (peer->handler->accept_return == NULL) {
         return -1;
     }
-    return peer->handler->take_return(peer->handler, member_id, back);
+    return peer->handler->accept_return(peer->handler, member_id, back);
 }
--- a/packages/peer/tests/test_peer.c
+++ b/packages/peer/tests/test_peer.c
@@ -50,8 +50,8 @@
 }
 
 static bool
-take_gossip(struct sas_peer_handler *handler, int member_id,
-            const struct sas_rpc_gossip *gossip)
+apply_gossip(struct sas_peer_handler *handler, int member_id,
+             const struct sas_rpc_gossip *gossip)
 {
     struct owner *owner = (struct owner *)handler;
     assert_int_equal(gossip->seat, member_id);
@@ -73,8 +73,8 @@
 }
 
 static bool
-take_config(struct sas_peer_handler *handler, int member_id,
-            const struct sas_rpc_config *config)
+apply_config(struct sas_peer_handler *handler, int member_id,
+             const struct sas_rpc_config *config)
 {
     struct owner *owner = (struct owner *)handler;
     (void)member_id;
@@ -95,8 +95,8 @@
 }
 
 static bool
-take_quarantines(struct sas_peer_handler *handler, int member_id,
-                 const struct sas_rpc_quarantine *entries, int count)
+apply_quarantines(struct sas_peer_handler *handler, int member_id,
+                  const struct sas_rpc_quarantine *entries, int count)
 {
     struct owner *owner = (struct owner *)handler;
     (void)member_id;
@@ -107,8 +107,8 @@
 }
 
 static bool
-take_leaving(struct sas_peer_handler *handler, int member_id,
-             const struct sas_rpc_leaving *leaving)
+apply_leaving(struct sas_peer_handler *handler, int member_id,
+              const struct sas_rpc_leaving *leaving)
 {
     struct owner *owner = (struct owner *)handler;
     (void)member_id;
@@ -142,12 +142,12 @@
     memset(owner, 0, sizeof(*owner));
     owner->handler = (struct sas_peer_handler){
         .fill_gossip = fill_gossip,
-        .take_gossip = take_gossip,
+        .apply_gossip = apply_gossip,
         .provide_config = provide_config,
-        .take_config = take_config,
+        .apply_config = apply_config,
         .answer_borrow = answer_borrow,
-        .take_quarantines = take_quarantines,
-        .take_leaving = take_leaving,
+        .apply_quarantines = apply_quarantines,
+        .apply_leaving = apply_leaving,
     };
     owner->random = g_rand_new_with_seed((guint32)member_id + 1);
     SasPeer_InitOptions(&options);
@@ -959,7 +959,7 @@
 test_connections_per_address_are_bounded(void **state)
 {
     (void)state;
-    int fds[2 * SasPeer_CONNECTIONS_PER_SEAT + 3] = {0};
+    int fds[2 * SasPeer_CONNECTIONS_PER_MEMBER + 3] = {0};
     int count = (int)(sizeof(fds) / sizeof(fds[0]));
     interval_ms = 1000000;
     start_all(2);
@@ -968,7 +968,7 @@
     }
     assert_true(run_until(some_were_refused));
     assert_int_equal(SasPeer_GetCounter(owners[0].peer, SAS_PEER_ACCEPTED),
-                     2 * SasPeer_CONNECTIONS_PER_SEAT);
+                     2 * SasPeer_CONNECTIONS_PER_MEMBER);
     for (int i = 0; i < count; i++) {
         close(fds[i]);
     }
--- a/tools/bench_gossip.c
+++ b/tools/bench_gossip.c
@@ -183,11 +183,11 @@
 static void
 exchange_with_some(int from, int count)
 {
-    int seats[SasPeer_MAX_CALLS];
-    count =
-        SasMembership_PickPeers(&nodes[from].table, rng, now_ms, seats, count);
+    int member_ids[SasPeer_MAX_CALLS];
+    count = SasMembership_PickPeers(&nodes[from].table, rng, now_ms,
+                                    member_ids, count);
     for (int i = 0; i < count; i++) {
-        exchange(from, seats[i]);
+        exchange(from, member_ids[i]);
     }
 }
 
@@ -316,11 +316,11 @@
         }
         node->alive = true;
         node->adopted_ms = NEVER_MS;
-        for (int seat = 0; seat < node_count; seat++) {
+        for (int member_id = 0; member_id < node_count; member_id++) {
             struct sas_member_update update = {
-                .member_id = seat, .incarnation = 1000, .heartbeat = 1};
+                .member_id = member_id, .incarnation = 1000, .heartbeat = 1};
             SasMembership_Merge(&node->table, &update, 0);
-            node->table.members[seat].retransmits_left = 0;
+            node->table.members[member_id].retransmits_left = 0;
         }
         int interval = (int)node->table.times.interval_ms;
         schedule(g_rand_int_range(rng, 0, interval), EVENT_ROUND, i, 0);
@@ -363,14 +363,14 @@
     size_t used = 0;
     int suspects = 0;
     for (int i = 0; i < node_count; i++) {
-        for (int seat = 0; seat < node_count; seat++) {
+        for (int member_id = 0; member_id < node_count; member_id++) {
             const struct sas_membership *table = &nodes[i].table;
-            if (seat == i) {
+            if (member_id == i) {
                 continue;
             }
-            ages[used++] = SasMembership_GetAge(table, seat, now_ms);
-            suspects +=
-                SasMembership_GetState(table, seat, now_ms) != SAS_MEMBER_LIVE;
+            ages[used++] = SasMembership_GetAge(table, member_id, now_ms);
+            suspects += SasMembership_GetState(table, member_id, now_ms) !=
+                        SAS_MEMBER_LIVE;
         }
     }
     qsort(ages, used, sizeof(*ages), compare_times);
@@ -487,9 +487,10 @@
         SasProto_Open(get_key(), &session, record + SasRecord_MARK_SIZE,
                       size - SasRecord_MARK_SIZE, &got, NULL);
         SasProto_Decode(&got, NULL);
-        for (int seat = 0; seat < count; seat++) {
-            struct sas_member_update row = {
-                .member_id = seat, .incarnation = 1, .heartbeat = (uint32_t)i};
+        for (int member_id = 0; member_id < count; member_id++) {
+            struct sas_member_update row = {.member_id = member_id,
+                                            .incarnation = 1,
+                                            .heartbeat = (uint32_t)i};
             SasMembership_Merge(&table, &row, i);
         }
         SasProto_FreeBody(&got);
