--- a/packages/core/include/sas/limits.h
+++ b/packages/core/include/sas/limits.h
@@ -24,9 +24,9 @@
 #define SasUpstream_NO_REUSE_MS 600000
 
 /* Steering. */
-#define SasSteer_SPILL_AFTER_MS 50 /* queue time in the home region */
-#define SasSteer_DEFAULT_PLACEMENT "owned-first" /* see sas/placement.h */
-#define SasSteer_FIRST_ANSWER_BYTES 16384 /* estimate before any answer */
+#define SasRouter_SPILL_AFTER_MS 50 /* queue time in the home region */
+#define SasRouter_DEFAULT_PLACEMENT "owned-first" /* see sas/placement.h */
+#define SasRouter_FIRST_ANSWER_BYTES 16384 /* estimate before any answer */
 
 /* Requests. HOLD_BYTES of an answer are buffered before any byte goes to the
  * caller, so that an answer that breaks off early can be retried. Above
--- a/packages/node/src/router.c
+++ b/packages/node/src/router.c
@@ -50,13 +50,13 @@
         g_new0(struct sas_placement_server, model->backend_count);
     router->answer_bytes = g_new0(double, model->service_count);
     for (int i = 0; i < model->service_count; i++) {
-        router->answer_bytes[i] = SasSteer_FIRST_ANSWER_BYTES;
+        router->answer_bytes[i] = SasRouter_FIRST_ANSWER_BYTES;
     }
     const char *placement = options->settings->placement;
     router->placement =
         SasPlacement_Create(placement != NULL && placement[0] != '\0'
                                 ? placement
-                                : SasSteer_DEFAULT_PLACEMENT);
+                                : SasRouter_DEFAULT_PLACEMENT);
     if (router->placement == NULL) {
         SasError_Set(error, SAS_EINVAL, "steer.open", NULL,
                      "unknown placement policy %s", placement);
--- a/packages/node/src/router_acquire.c
+++ b/packages/node/src/router_acquire.c
@@ -254,7 +254,7 @@
      * after a wait: a short wait at home costs less than a round trip to
      * another region. */
     bool may_spill =
-        !any_usable || query->waited_ms >= SasSteer_SPILL_AFTER_MS;
+        !any_usable || query->waited_ms >= SasRouter_SPILL_AFTER_MS;
     for (int i = 0; may_spill && i < model->region_count; i++) {
         if (i != home && i != target &&
             try_region(router, query, home, i, &any_usable, grant)) {
