--- a/packages/core/src/stop.c
+++ b/packages/core/src/shutdown.c
@@ -1,4 +1,4 @@
-#include "sas/stop.h"
+#include "sas/shutdown.h"
 
 #include <glib.h>
 
@@ -20,47 +20,50 @@
 #define MIN_UNCONNECTED_MS 2500
 #define MIN_IDLE_MS 3500
 
-struct sas_stop_plan
-SasStop_Plan(int64_t now_ms, int64_t grace_ms)
+struct sas_shutdown_plan
+SasShutdown_Plan(int64_t now_ms, int64_t grace_ms)
 {
     double grace = (double)grace_ms;
     double final_ms = MIN(grace * FINAL_FRACTION, MAX_FINAL_MS);
-    return (struct sas_stop_plan){
+    return (struct sas_shutdown_plan){
         .began_at = now_ms,
         .accept_until =
             now_ms + (int64_t)MIN(grace * ACCEPT_FRACTION, MAX_ACCEPT_MS),
-        .deadline_at = now_ms + (int64_t)(grace - final_ms * DEADLINE_BEFORE),
-        .end_at = now_ms + (int64_t)(grace - final_ms * END_BEFORE),
-        .changes_at = now_ms + (int64_t)(grace - final_ms * CHANGES_BEFORE),
+        .fail_pending_at =
+            now_ms + (int64_t)(grace - final_ms * DEADLINE_BEFORE),
+        .close_at = now_ms + (int64_t)(grace - final_ms * END_BEFORE),
+        .change_calls_until =
+            now_ms + (int64_t)(grace - final_ms * CHANGES_BEFORE),
     };
 }
 
 bool
-SasStop_MayTake(const struct sas_stop_plan *plan, int64_t now_ms,
-                int64_t limit_at)
+SasShutdown_ShouldAccept(const struct sas_shutdown_plan *plan, int64_t now_ms,
+                         int64_t limit_at)
 {
     return plan->began_at == 0 || now_ms < plan->accept_until ||
-           limit_at <= plan->deadline_at;
+           limit_at <= plan->fail_pending_at;
 }
 
 bool
-SasStop_IsGivenUp(const struct sas_stop_plan *plan, int64_t now_ms)
+SasShutdown_MustFailPending(const struct sas_shutdown_plan *plan,
+                            int64_t now_ms)
 {
-    return now_ms >= plan->deadline_at;
+    return now_ms >= plan->fail_pending_at;
 }
 
 bool
-SasStop_IsOver(const struct sas_stop_plan *plan, int64_t now_ms,
-               const struct sas_stop_left *left)
+SasShutdown_IsDone(const struct sas_shutdown_plan *plan, int64_t now_ms,
+                   const struct sas_shutdown_left *left)
 {
     int64_t since_ms = now_ms - plan->began_at;
     return (left->connections == 0 && since_ms >= MIN_UNCONNECTED_MS) ||
-           (left->busy == 0 && since_ms >= MIN_IDLE_MS) ||
-           SasStop_IsAtLimit(plan, now_ms);
+           (left->unanswered == 0 && since_ms >= MIN_IDLE_MS) ||
+           SasShutdown_IsAtDeadline(plan, now_ms);
 }
 
 bool
-SasStop_IsAtLimit(const struct sas_stop_plan *plan, int64_t now_ms)
+SasShutdown_IsAtDeadline(const struct sas_shutdown_plan *plan, int64_t now_ms)
 {
-    return now_ms >= plan->end_at;
+    return now_ms >= plan->close_at;
 }
--- a/packages/core/tests/test_stop.c
+++ b/packages/core/tests/test_shutdown.c
@@ -4,7 +4,7 @@
 #include <cmocka.h>
 #include <glib.h>
 
-#include "sas/stop.h"
+#include "sas/shutdown.h"
 
 #define BEGAN_AT 1000000 /* any */
 #define GRACE_MS 6000
@@ -24,12 +24,13 @@
 {
     (void)state;
     for (int64_t grace = 1000; grace <= 60000; grace += 500) {
-        struct sas_stop_plan plan = SasStop_Plan(BEGAN_AT, grace);
+        struct sas_shutdown_plan plan = SasShutdown_Plan(BEGAN_AT, grace);
         for (int64_t since = 0; since <= grace; since += 50) {
             for (int64_t left = 0; left <= LONGEST_LIMIT_MS; left += 500) {
                 int64_t now = BEGAN_AT + since;
-                bool accepted = SasStop_MayTake(&plan, now, now + left);
-                bool in_time = now + left <= plan.deadline_at;
+                bool accepted =
+                    SasShutdown_ShouldAccept(&plan, now, now + left);
+                bool in_time = now + left <= plan.fail_pending_at;
                 bool early = since < MIN(grace / 2, MAX_EXCUSED_MS);
                 assert_true(accepted || !in_time);
                 assert_true(in_time || !accepted || early);
@@ -45,9 +46,9 @@
 {
     (void)state;
     for (int64_t grace = 100; grace <= 60000; grace += 100) {
-        struct sas_stop_plan plan = SasStop_Plan(BEGAN_AT, grace);
-        assert_true(plan.deadline_at >= BEGAN_AT + grace * 5 / 6);
-        assert_true(plan.accept_until < plan.deadline_at);
+        struct sas_shutdown_plan plan = SasShutdown_Plan(BEGAN_AT, grace);
+        assert_true(plan.fail_pending_at >= BEGAN_AT + grace * 5 / 6);
+        assert_true(plan.accept_until < plan.fail_pending_at);
     }
 }
 
@@ -55,19 +56,22 @@
 test_all_requests_are_accepted_at_first(void **state)
 {
     (void)state;
-    struct sas_stop_plan plan = SasStop_Plan(BEGAN_AT, GRACE_MS);
+    struct sas_shutdown_plan plan = SasShutdown_Plan(BEGAN_AT, GRACE_MS);
     int64_t limit_at = BEGAN_AT + LONGEST_LIMIT_MS;
-    assert_true(SasStop_MayTake(&plan, BEGAN_AT, limit_at));
-    assert_true(SasStop_MayTake(&plan, BEGAN_AT + GRACE_MS / 3, limit_at));
-    assert_false(SasStop_MayTake(&plan, BEGAN_AT + GRACE_MS / 2, limit_at));
+    assert_true(SasShutdown_ShouldAccept(&plan, BEGAN_AT, limit_at));
+    assert_true(
+        SasShutdown_ShouldAccept(&plan, BEGAN_AT + GRACE_MS / 3, limit_at));
+    assert_false(
+        SasShutdown_ShouldAccept(&plan, BEGAN_AT + GRACE_MS / 2, limit_at));
 }
 
 static void
 test_all_requests_are_accepted_without_an_order(void **state)
 {
     (void)state;
-    const struct sas_stop_plan none = {0};
-    assert_true(SasStop_MayTake(&none, BEGAN_AT, BEGAN_AT + LONGEST_LIMIT_MS));
+    const struct sas_shutdown_plan none = {0};
+    assert_true(SasShutdown_ShouldAccept(&none, BEGAN_AT,
+                                         BEGAN_AT + LONGEST_LIMIT_MS));
 }
 
 static void
@@ -75,12 +79,12 @@
 {
     (void)state;
     for (int64_t grace = 0; grace <= 60000; grace += 100) {
-        struct sas_stop_plan plan = SasStop_Plan(BEGAN_AT, grace);
+        struct sas_shutdown_plan plan = SasShutdown_Plan(BEGAN_AT, grace);
         assert_true(plan.accept_until <= BEGAN_AT + grace / 2);
-        assert_true(plan.deadline_at <= plan.end_at);
-        assert_true(plan.end_at <= plan.changes_at);
-        assert_true(plan.changes_at <= BEGAN_AT + grace);
-        assert_true(SasStop_IsGivenUp(&plan, plan.end_at));
+        assert_true(plan.fail_pending_at <= plan.close_at);
+        assert_true(plan.close_at <= plan.change_calls_until);
+        assert_true(plan.change_calls_until <= BEGAN_AT + grace);
+        assert_true(SasShutdown_MustFailPending(&plan, plan.close_at));
     }
 }
 
@@ -89,16 +93,16 @@
 test_process_ends_without_pending_answers_or_at_its_limit(void **state)
 {
     (void)state;
-    struct sas_stop_plan plan = SasStop_Plan(BEGAN_AT, GRACE_MS);
-    const struct sas_stop_left none = {0, 0};
-    const struct sas_stop_left idle = {3, 0};
-    const struct sas_stop_left pending = {3, 1};
-    assert_false(SasStop_IsOver(&plan, BEGAN_AT + 1000, &none));
-    assert_true(SasStop_IsOver(&plan, BEGAN_AT + 2500, &none));
-    assert_false(SasStop_IsOver(&plan, BEGAN_AT + 2500, &idle));
-    assert_true(SasStop_IsOver(&plan, BEGAN_AT + 3500, &idle));
-    assert_false(SasStop_IsOver(&plan, plan.end_at - 1, &pending));
-    assert_true(SasStop_IsOver(&plan, plan.end_at, &pending));
+    struct sas_shutdown_plan plan = SasShutdown_Plan(BEGAN_AT, GRACE_MS);
+    const struct sas_shutdown_left none = {0, 0};
+    const struct sas_shutdown_left idle = {3, 0};
+    const struct sas_shutdown_left pending = {3, 1};
+    assert_false(SasShutdown_IsDone(&plan, BEGAN_AT + 1000, &none));
+    assert_true(SasShutdown_IsDone(&plan, BEGAN_AT + 2500, &none));
+    assert_false(SasShutdown_IsDone(&plan, BEGAN_AT + 2500, &idle));
+    assert_true(SasShutdown_IsDone(&plan, BEGAN_AT + 3500, &idle));
+    assert_false(SasShutdown_IsDone(&plan, plan.close_at - 1, &pending));
+    assert_true(SasShutdown_IsDone(&plan, plan.close_at, &pending));
 }
 
 int
--- a/packages/gateway/src/gateway.c
+++ b/packages/gateway/src/gateway.c
@@ -60,7 +60,7 @@
     uv_signal_t signals[3];
     uv_fs_poll_t settings_poll;
     int open_handles; /* of the handles above, while they are being closed */
-    struct sas_stop_plan stop_plan;
+    struct sas_shutdown_plan stop_plan;
     bool was_drained; /* at the previous shutdown check */
     void (*reload)(void *data);
     void *reload_data;
@@ -338,8 +338,8 @@
     if (gateway->stop_plan.began_at != 0) {
         return;
     }
-    gateway->stop_plan = SasStop_Plan((int64_t)uv_now(gateway->loop),
-                                      gateway->settings->bounds.grace_ms);
+    gateway->stop_plan = SasShutdown_Plan((int64_t)uv_now(gateway->loop),
+                                          gateway->settings->bounds.grace_ms);
     SasLog_Write(
         SasLog_INFO, "process.stopping", "",
         "signal=%d requests=%d connections=%d", number,
@@ -374,7 +374,8 @@
 int64_t
 SasGateway_GetTimeLeft(const struct sas_gateway *gateway)
 {
-    return gateway->stop_plan.changes_at - (int64_t)uv_now(gateway->loop);
+    return gateway->stop_plan.change_calls_until -
+           (int64_t)uv_now(gateway->loop);
 }
 
 static void
@@ -382,22 +383,22 @@
 {
     struct sas_gateway *gateway = timer->data;
     int64_t now_ms = (int64_t)uv_now(gateway->loop);
-    if (SasStop_IsGivenUp(&gateway->stop_plan, now_ms)) {
+    if (SasShutdown_MustFailPending(&gateway->stop_plan, now_ms)) {
         SasRelay_FailPending(gateway->relay);
     }
     const struct sas_http_server *callers = gateway->servers[LISTEN_CALLER];
-    struct sas_stop_left left = {
+    struct sas_shutdown_left left = {
         .connections = SasHttpServer_CountConnections(callers),
-        .busy = SasHttpServer_CountBusy(callers),
+        .unanswered = SasHttpServer_CountBusy(callers),
     };
-    bool drained = SasStop_IsOver(&gateway->stop_plan, now_ms, &left);
+    bool drained = SasShutdown_IsDone(&gateway->stop_plan, now_ms, &left);
     /* If the process was frozen, unread requests may wait on the sockets. So
      * they are read once more, until the next check, before it ends. */
-    bool confirmed =
-        gateway->was_drained || SasStop_IsAtLimit(&gateway->stop_plan, now_ms);
+    bool confirmed = gateway->was_drained ||
+                     SasShutdown_IsAtDeadline(&gateway->stop_plan, now_ms);
     gateway->was_drained = drained;
     if (drained && confirmed) {
-        end_process(gateway, left.busy);
+        end_process(gateway, left.unanswered);
     }
 }
 
--- a/packages/gateway/src/relay.c
+++ b/packages/gateway/src/relay.c
@@ -62,7 +62,7 @@
 }
 
 void
-SasRelay_Stop(struct sas_relay *relay, const struct sas_stop_plan *plan)
+SasRelay_Stop(struct sas_relay *relay, const struct sas_shutdown_plan *plan)
 {
     relay->stop = *plan;
 }
@@ -286,8 +286,8 @@
 may_admit(const struct relay_call *call)
 {
     const struct sas_relay *relay = call->relay;
-    return SasStop_MayTake(&relay->stop, SasRelay_Now(relay),
-                           call->deadline_at);
+    return SasShutdown_ShouldAccept(&relay->stop, SasRelay_Now(relay),
+                                    call->deadline_at);
 }
 
 /* A request without an object key has an object of its own. */
--- a/packages/gateway/src/relay.h
+++ b/packages/gateway/src/relay.h
@@ -20,8 +20,8 @@
 #include "sas/fleet.h"
 #include "sas/http_server.h"
 #include "sas/metrics.h"
+#include "sas/shutdown.h"
 #include "sas/steering.h"
-#include "sas/stop.h"
 
 struct sas_relay;
 struct sas_source;
@@ -46,7 +46,8 @@
 
 /* Begins the shutdown: from now on requests that the plan doesn't admit are
  * refused as not run. */
-void SasRelay_Stop(struct sas_relay *relay, const struct sas_stop_plan *plan);
+void SasRelay_Stop(struct sas_relay *relay,
+                   const struct sas_shutdown_plan *plan);
 
 /* At the shutdown deadline: answers every pending request, with its fallback
  * answer or 502, since it may have run. */
--- a/packages/gateway/src/relay_call.h
+++ b/packages/gateway/src/relay_call.h
@@ -66,7 +66,7 @@
     bool rows_stale; /* of servers, which may be cold without notice */
     int end_counters[SAS_HTTP_END_COUNT]; /* metrics of connections */
     GQueue calls; /* struct relay_call *, by their links */
-    struct sas_stop_plan stop;
+    struct sas_shutdown_plan stop;
 };
 
 /* A whole answer. */
