--- a/packages/core/tests/test_measure.c
+++ b/packages/core/tests/test_load_estimate.c
@@ -4,18 +4,18 @@
 #include <stddef.h>
 #include <cmocka.h>
 
-#include "sas/measure.h"
+#include "sas/load_estimate.h"
 #include "steering_fixture.h"
 
 #define FLOOR 0.1
 
-static struct sas_measure measure;
+static struct sas_load_estimate measure;
 
 static int
 set_up(void **state)
 {
     (void)state;
-    SasMeasure_Init(&measure, &fixture, FLOOR);
+    SasLoadEstimate_Init(&measure, &fixture, FLOOR);
     return 0;
 }
 
@@ -23,7 +23,7 @@
 tear_down(void **state)
 {
     (void)state;
-    SasMeasure_Close(&measure);
+    SasLoadEstimate_Close(&measure);
     return 0;
 }
 
@@ -36,23 +36,23 @@
 static double
 get_headroom(int64_t now_ms, double *age_ms)
 {
-    return SasMeasure_GetHeadroom(&measure, &fixture, DOSSIERS, MONTREAL,
-                                  now_ms, age_ms);
+    return SasLoadEstimate_GetHeadroom(&measure, &fixture, DOSSIERS, MONTREAL,
+                                       now_ms, age_ms);
 }
 
 static void
 test_report_decays_towards_own_requests(void **state)
 {
     (void)state;
-    SasMeasure_SetInFlight(&measure, 0, 1);
-    SasMeasure_Report(&measure, 0, 3, 2, 3, 1000);
-    assert_near(SasMeasure_GetLoad(&measure, 0, 1000), 1 + 4);
-    SasMeasure_SetInFlight(&measure, 0, 2);
-    assert_near(SasMeasure_GetLoad(&measure, 0, 1000), 2 + 4);
-    assert_near(SasMeasure_GetLoad(&measure, 0, 3000), 2 + 2);
-    assert_near(SasMeasure_GetLoad(&measure, 0, 11000), 2);
-    SasMeasure_Report(&measure, 0, 0, 0, 3, 500);
-    assert_near(SasMeasure_GetLoad(&measure, 0, 1000), 2 + 4);
+    SasLoadEstimate_SetInFlight(&measure, 0, 1);
+    SasLoadEstimate_Report(&measure, 0, 3, 2, 3, 1000);
+    assert_near(SasLoadEstimate_GetLoad(&measure, 0, 1000), 1 + 4);
+    SasLoadEstimate_SetInFlight(&measure, 0, 2);
+    assert_near(SasLoadEstimate_GetLoad(&measure, 0, 1000), 2 + 4);
+    assert_near(SasLoadEstimate_GetLoad(&measure, 0, 3000), 2 + 2);
+    assert_near(SasLoadEstimate_GetLoad(&measure, 0, 11000), 2);
+    SasLoadEstimate_Report(&measure, 0, 0, 0, 3, 500);
+    assert_near(SasLoadEstimate_GetLoad(&measure, 0, 1000), 2 + 4);
 }
 
 /* A load endpoint is stuck at "idle". If nodes trusted it, they would send to
@@ -61,21 +61,21 @@
 test_contradicted_report_lowers_trust(void **state)
 {
     (void)state;
-    SasMeasure_SetInFlight(&measure, 0, 3);
-    SasMeasure_Report(&measure, 0, 0, 0, 3, 1000);
-    assert_near(SasMeasure_GetTrust(&measure, 0), 1);
-    SasMeasure_Report(&measure, 0, 0, 0, 3, 1300);
-    SasMeasure_Report(&measure, 0, 0, 0, 3, 1600);
-    assert_near(SasMeasure_GetTrust(&measure, 0), 0.5);
-    SasMeasure_Report(&measure, 1, 0, 0, 3, 1000);
-    SasMeasure_NoteShed(&measure, 1, 1100);
-    SasMeasure_NoteShed(&measure, 1, 1200);
-    assert_near(SasMeasure_GetTrust(&measure, 1), 0.5);
-    assert_near(SasMeasure_GetLoad(&measure, 1, 1300), 3);
+    SasLoadEstimate_SetInFlight(&measure, 0, 3);
+    SasLoadEstimate_Report(&measure, 0, 0, 0, 3, 1000);
+    assert_near(SasLoadEstimate_GetTrust(&measure, 0), 1);
+    SasLoadEstimate_Report(&measure, 0, 0, 0, 3, 1300);
+    SasLoadEstimate_Report(&measure, 0, 0, 0, 3, 1600);
+    assert_near(SasLoadEstimate_GetTrust(&measure, 0), 0.5);
+    SasLoadEstimate_Report(&measure, 1, 0, 0, 3, 1000);
+    SasLoadEstimate_NoteShed(&measure, 1, 1100);
+    SasLoadEstimate_NoteShed(&measure, 1, 1200);
+    assert_near(SasLoadEstimate_GetTrust(&measure, 1), 0.5);
+    assert_near(SasLoadEstimate_GetLoad(&measure, 1, 1300), 3);
     for (int i = 0; i < 100; i++) {
-        SasMeasure_Report(&measure, 1, 1, 0, 3, 2000 + i);
+        SasLoadEstimate_Report(&measure, 1, 1, 0, 3, 2000 + i);
     }
-    assert_true(SasMeasure_GetTrust(&measure, 1) > 0.99);
+    assert_true(SasLoadEstimate_GetTrust(&measure, 1) > 0.99);
 }
 
 /* Requests of 10 ms to a region 20 ms away: five are in flight from here, but
@@ -86,14 +86,14 @@
 {
     (void)state;
     for (int i = 0; i < 20; i++) {
-        SasMeasure_SetInFlight(&measure, 0, 5);
-        SasMeasure_Report(&measure, 0, 2, 0, 3, i * 250);
+        SasLoadEstimate_SetInFlight(&measure, 0, 5);
+        SasLoadEstimate_Report(&measure, 0, 2, 0, 3, i * 250);
     }
-    assert_near(SasMeasure_GetTrust(&measure, 0), 1);
-    SasMeasure_SetInFlight(&measure, 0, 0);
-    SasMeasure_SetInFlight(&measure, 0, 9);
-    SasMeasure_Report(&measure, 0, 0, 0, 3, 5000);
-    assert_near(SasMeasure_GetTrust(&measure, 0), 1);
+    assert_near(SasLoadEstimate_GetTrust(&measure, 0), 1);
+    SasLoadEstimate_SetInFlight(&measure, 0, 0);
+    SasLoadEstimate_SetInFlight(&measure, 0, 9);
+    SasLoadEstimate_Report(&measure, 0, 0, 0, 3, 5000);
+    assert_near(SasLoadEstimate_GetTrust(&measure, 0), 1);
 }
 
 /* Guards against a region that fills up unnoticed: reports stop, the last ones
@@ -105,8 +105,8 @@
     double age_ms;
     assert_near(get_headroom(0, &age_ms), FLOOR);
     assert_true(isnan(age_ms));
-    SasMeasure_Report(&measure, 0, 0, 0, 3, 1000);
-    SasMeasure_Report(&measure, 1, 3, 0, 3, 2000);
+    SasLoadEstimate_Report(&measure, 0, 0, 0, 3, 1000);
+    SasLoadEstimate_Report(&measure, 1, 3, 0, 3, 2000);
     assert_near(get_headroom(1000, NULL), 0.5);
     double before = 1;
     for (int64_t now_ms = 2000; now_ms < 13000; now_ms += 500) {
@@ -123,8 +123,8 @@
 test_decayed_report_of_a_full_server_gives_no_headroom(void **state)
 {
     (void)state;
-    SasMeasure_Report(&measure, 0, 3, 4, 3, 1000);
-    SasMeasure_Report(&measure, 1, 3, 4, 3, 1000);
+    SasLoadEstimate_Report(&measure, 0, 3, 4, 3, 1000);
+    SasLoadEstimate_Report(&measure, 1, 3, 4, 3, 1000);
     for (int64_t now_ms = 1000; now_ms < 11000; now_ms += 500) {
         assert_near(get_headroom(now_ms, NULL), 0);
     }
@@ -135,11 +135,11 @@
 {
     (void)state;
     double age_ms;
-    SasMeasure_Report(&measure, 0, 0, 0, 3, 1000);
-    SasMeasure_Report(&measure, 1, 3, 0, 3, 1000);
-    SasMeasure_SetLeaving(&measure, 0, true);
+    SasLoadEstimate_Report(&measure, 0, 0, 0, 3, 1000);
+    SasLoadEstimate_Report(&measure, 1, 3, 0, 3, 1000);
+    SasLoadEstimate_SetLeaving(&measure, 0, true);
     assert_near(get_headroom(1000, &age_ms), 0);
-    SasMeasure_SetLeaving(&measure, 1, true);
+    SasLoadEstimate_SetLeaving(&measure, 1, true);
     assert_near(get_headroom(1000, &age_ms), 0);
     assert_true(isnan(age_ms));
 }
@@ -149,10 +149,10 @@
 test_claimed_slots_are_bounded(void **state)
 {
     (void)state;
-    SasMeasure_Report(&measure, 0, 0, 0, 1000000, 1000);
-    SasMeasure_Report(&measure, 1, 1, 0, 1, 1000);
+    SasLoadEstimate_Report(&measure, 0, 0, 0, 1000000, 1000);
+    SasLoadEstimate_Report(&measure, 1, 1, 0, 1, 1000);
     assert_near(get_headroom(1000, NULL), 0.5);
-    SasMeasure_Report(&measure, 0, -5, 2147483647, 3, 1000);
+    SasLoadEstimate_Report(&measure, 0, -5, 2147483647, 3, 1000);
     assert_near(get_headroom(1000, NULL), 0);
 }
 
--- a/packages/node/src/router.c
+++ b/packages/node/src/router.c
@@ -68,7 +68,7 @@
             SasRouterState_CountOwnedSlots(router, i);
     }
     SasLookup_Init(&router->lookup, model);
-    SasMeasure_Init(&router->measure, model, DEFAULT_HEADROOM);
+    SasLoadEstimate_Init(&router->measure, model, DEFAULT_HEADROOM);
     uv_timer_init(options->loop, &router->timer);
     router->timer.data = router;
     uv_timer_start(&router->timer, on_tick, TICK_MS, TICK_MS);
@@ -86,7 +86,7 @@
 {
     SasPlan_Free(&router->plan);
     SasLookup_Close(&router->lookup);
-    SasMeasure_Close(&router->measure);
+    SasLoadEstimate_Close(&router->measure);
     SasPlacement_Free(router->placement);
     uv_close((uv_handle_t *)&router->timer, on_timer_closed);
 }
@@ -151,9 +151,9 @@
 describe_region(struct sas_router *router, int service, int region)
 {
     double age_ms = 0;
-    double headroom =
-        SasMeasure_GetHeadroom(&router->measure, router->model, service,
-                               region, SasRouterState_GetNow(router), &age_ms);
+    double headroom = SasLoadEstimate_GetHeadroom(
+        &router->measure, router->model, service, region,
+        SasRouterState_GetNow(router), &age_ms);
     return SasStatusJson_DescribeRegion(router->model, service, region,
                                         headroom);
 }
--- a/packages/node/src/router_acquire.c
+++ b/packages/node/src/router_acquire.c
@@ -54,7 +54,8 @@
                 const struct sas_router_query *query, int backend)
 {
     const struct sas_model *model = router->model;
-    const struct sas_measure_row *measured = &router->measure.rows[backend];
+    const struct sas_load_estimate_row *measured =
+        &router->measure.rows[backend];
     const struct backend_row *row = &router->backends[backend];
     int64_t now = SasRouterState_GetNow(router);
     int others =
@@ -73,7 +74,7 @@
     };
     server.shed_recently =
         measured->shed && now - measured->shed_ms < SasPlacement_SHED_MS;
-    if (measured->shed && now - measured->shed_ms < SasMeasure_SHED_MS) {
+    if (measured->shed && now - measured->shed_ms < SasLoadEstimate_SHED_MS) {
         server.reported_load = server.slots + server.queue;
     }
     if (query->isolated && (row->in_flight > 0 || server.reported_load > 0)) {
@@ -206,7 +207,7 @@
     struct backend_row *row = &router->backends[backend];
     row->in_flight++;
     row->reserved = query->isolated;
-    SasMeasure_SetInFlight(&router->measure, backend, row->in_flight);
+    SasLoadEstimate_SetInFlight(&router->measure, backend, row->in_flight);
     grant->backend = backend;
     grant->region = SasModel_GetBackendRegion(router->model, backend);
     grant->isolated = query->isolated;
@@ -278,7 +279,8 @@
     if (grant->isolated) {
         row->reserved = false;
     }
-    SasMeasure_SetInFlight(&router->measure, grant->backend, row->in_flight);
+    SasLoadEstimate_SetInFlight(&router->measure, grant->backend,
+                                row->in_flight);
     SasLending_Release(lending,
                        SasLending_FindSlots(lending, service, grant->region),
                        grant->slots_source, 1);
--- a/packages/node/src/router_state.h
+++ b/packages/node/src/router_state.h
@@ -8,7 +8,7 @@
 #define SAS_ROUTER_STATE_H
 
 #include "sas/lookup.h"
-#include "sas/measure.h"
+#include "sas/load_estimate.h"
 #include "sas/membership.h"
 #include "sas/placement.h"
 #include "sas/plan.h"
@@ -38,7 +38,7 @@
     int64_t version;
     struct sas_plan plan;
     struct sas_lookup lookup;
-    struct sas_measure measure;
+    struct sas_load_estimate measure;
     struct backend_row *backends;
     struct sas_departure_table departures;
     struct vm_row *vms;
--- a/packages/node/src/router_updates.c
+++ b/packages/node/src/router_updates.c
@@ -50,8 +50,8 @@
 static void
 update_leaving(struct sas_router *router, int backend)
 {
-    SasMeasure_SetLeaving(&router->measure, backend,
-                          is_reported_leaving(router, backend));
+    SasLoadEstimate_SetLeaving(&router->measure, backend,
+                               is_reported_leaving(router, backend));
 }
 
 static void
@@ -88,9 +88,9 @@
 {
     int slots = report->slots > 0 ? report->slots
                                   : router->model->backends[backend].slots;
-    SasMeasure_Report(&router->measure, backend, report->running,
-                      report->queued, slots,
-                      SasRouterState_GetNow(router) - age_ms);
+    SasLoadEstimate_Report(&router->measure, backend, report->running,
+                           report->queued, slots,
+                           SasRouterState_GetNow(router) - age_ms);
     if (note_departure(router, backend, report, incarnation,
                        SasRouterState_GetNow(router) - age_ms)) {
         SasLog_Write(SasLog_INFO, "backend.leaving",
@@ -120,8 +120,8 @@
 void
 SasRouter_NoteShed(struct sas_router *router, int backend)
 {
-    SasMeasure_NoteShed(&router->measure, backend,
-                        SasRouterState_GetNow(router));
+    SasLoadEstimate_NoteShed(&router->measure, backend,
+                             SasRouterState_GetNow(router));
 }
 
 static void
@@ -255,7 +255,7 @@
         router->down[i] = is_region_down(router, i);
     }
     for (int i = 0; i < model->service_count * model->region_count; i++) {
-        router->signals[i].headroom = SasMeasure_GetHeadroom(
+        router->signals[i].headroom = SasLoadEstimate_GetHeadroom(
             &router->measure, model, i / model->region_count,
             i % model->region_count, now, &router->signals[i].age_ms);
     }
