--- a/packages/core/include/sas/model.h
+++ b/packages/core/include/sas/model.h
@@ -3,8 +3,8 @@
  *
  * Rows refer to each other by their index in a table (a handle); SasModel_NONE
  * stands for "none". In standalone mode the settings package fills the tables
- * once. In platform mode sas/snapshot.h builds them from the fleet and keeps
- * them up to date.
+ * once. In platform mode sas/fleet_model.h builds them from the fleet and
+ * keeps them up to date.
  */
 #ifndef SAS_MODEL_H
 #define SAS_MODEL_H
--- a/packages/core/include/sas/steering.h
+++ b/packages/core/include/sas/steering.h
@@ -2,10 +2,11 @@
  * request goes to, within the caps of the shifts, and which servers and entry
  * VMs are leaving.
  *
- * The sheet is resolved against a model built from the fleet (sas/snapshot.h);
- * sas/plan.h computes the shares in force. A share is a share of a service's
- * objects, selected by hash: all requests for such an object go to the other
- * region, so that its caches stay warm for them and all entry VMs agree.
+ * The sheet is resolved against a model built from the fleet
+ * (sas/fleet_model.h); sas/plan.h computes the shares in force. A share is a
+ * share of a service's objects, selected by hash: all requests for such an
+ * object go to the other region, so that its caches stay warm for them and all
+ * entry VMs agree.
  *
  * A cap is divided evenly among the entry VMs of the home region; the first
  * ones get one unit more when it does not divide evenly. A request above the
@@ -32,7 +33,7 @@
 struct sas_steering *SasSteering_New(struct sas_fleet *fleet);
 void SasSteering_Free(struct sas_steering *steering);
 
-/* The model that sheets are resolved against; sas/snapshot.h updates it. */
+/* The model that sheets are resolved against; sas/fleet_model.h updates it. */
 struct sas_model *SasSteering_GetModel(struct sas_steering *steering);
 
 /* Makes an accepted version the current one and keeps a reference to it. */
--- a/packages/core/src/snapshot.c
+++ b/packages/core/src/fleet_model.c
@@ -1,11 +1,11 @@
-#include "sas/snapshot.h"
+#include "sas/fleet_model.h"
 
 #include <string.h>
 
 #include <jansson.h>
 
 void
-SasSnapshot_Init(struct sas_model *model, const struct sas_fleet *fleet)
+SasFleetModel_Init(struct sas_model *model, const struct sas_fleet *fleet)
 {
     memset(model, 0, sizeof(*model));
     model->region_count = SasFleet_CountRegions(fleet);
@@ -86,7 +86,7 @@
 }
 
 void
-SasSnapshot_Add(struct sas_model *model, const struct sas_fleet *fleet)
+SasFleetModel_Add(struct sas_model *model, const struct sas_fleet *fleet)
 {
     g_autoptr(GArray) free_rows = g_array_new(FALSE, FALSE, sizeof(int));
     g_autoptr(GArray) in_model = g_array_new(FALSE, TRUE, sizeof(bool));
@@ -127,10 +127,10 @@
 }
 
 void
-SasSnapshot_Refresh(struct sas_model *model, const struct sas_fleet *fleet,
-                    const struct sas_config *config)
+SasFleetModel_Refresh(struct sas_model *model, const struct sas_fleet *fleet,
+                      const struct sas_config *config)
 {
-    SasSnapshot_Add(model, fleet);
+    SasFleetModel_Add(model, fleet);
     for (int i = 0; i < model->backend_count; i++) {
         if (model->backends[i].slots == 0 && !is_named(config, i)) {
             model->backends[i].name[0] = '\0';
@@ -139,10 +139,10 @@
 }
 
 void
-SasSnapshot_AddVm(struct sas_model *model, const char *name, int domain)
+SasFleetModel_AddVm(struct sas_model *model, const char *name, int domain)
 {
     if (SasModel_FindVm(model, name) != SasModel_NONE ||
-        model->vm_count >= SasSnapshot_MAX_VMS) {
+        model->vm_count >= SasFleetModel_MAX_VMS) {
         return;
     }
     model->vms =
@@ -154,8 +154,8 @@
 }
 
 void
-SasSnapshot_AddNames(struct sas_model *model, struct sas_fleet *fleet,
-                     const char *json, size_t size)
+SasFleetModel_AddNames(struct sas_model *model, struct sas_fleet *fleet,
+                       const char *json, size_t size)
 {
     json_t *config = json_loadb(json, size, 0, NULL);
     size_t i;
--- a/packages/core/src/steering.c
+++ b/packages/core/src/steering.c
@@ -5,7 +5,7 @@
 
 #include <xxhash.h>
 
-#include "sas/snapshot.h"
+#include "sas/fleet_model.h"
 #include "sas/traffic.h"
 
 /* Region and server are chosen by hashes of the same keys. Another seed keeps
@@ -37,7 +37,7 @@
 {
     struct sas_steering *steering = g_new0(struct sas_steering, 1);
     steering->fleet = fleet;
-    SasSnapshot_Init(&steering->model, fleet);
+    SasFleetModel_Init(&steering->model, fleet);
     steering->usages = g_array_new(FALSE, TRUE, sizeof(struct usage));
     return steering;
 }
--- a/packages/core/tests/test_steering.c
+++ b/packages/core/tests/test_steering.c
@@ -5,8 +5,8 @@
 #include <stdio.h>
 #include <string.h>
 
+#include "sas/fleet_model.h"
 #include "sas/owner.h"
-#include "sas/snapshot.h"
 #include "sas/steering.h"
 
 #define WALL_MS INT64_C(1800000000000)
@@ -49,7 +49,7 @@
     put_server(f, "w2", "b");
     f->desk = SasFleet_FindService(f->fleet, "desk");
     f->steering = SasSteering_New(f->fleet);
-    SasSnapshot_Add(SasSteering_GetModel(f->steering), f->fleet);
+    SasFleetModel_Add(SasSteering_GetModel(f->steering), f->fleet);
     return f;
 }
 
@@ -184,8 +184,8 @@
 {
     (void)state;
     struct fixture *f = start();
-    SasSnapshot_AddVm(SasSteering_GetModel(f->steering), "vm-1", 0);
-    SasSnapshot_AddVm(SasSteering_GetModel(f->steering), "vm-2", 0);
+    SasFleetModel_AddVm(SasSteering_GetModel(f->steering), "vm-1", 0);
+    SasFleetModel_AddVm(SasSteering_GetModel(f->steering), "vm-2", 0);
     struct sas_config *config =
         accept(f, SasSheet_HEADER "\n+0,,,,,,e1,\n+0,,,,,,vm-2,\n");
     int slot = SasFleet_FindServer(f->fleet, "e1");
@@ -231,7 +231,7 @@
     struct sas_steering_query query = {.service = later, .home = f->east};
     struct sas_steering_grant grant;
     assert_false(SasSteering_Acquire(f->steering, &query, 1000, &grant));
-    SasSnapshot_Add(SasSteering_GetModel(f->steering), f->fleet);
+    SasFleetModel_Add(SasSteering_GetModel(f->steering), f->fleet);
     SasSteering_Advance(f->steering, WALL_MS + 1000, 2000, NULL);
     assert_false(SasSteering_Acquire(f->steering, &query, 2000, &grant));
     assert_int_equal(count_steered(f, 1, 0, 2000), OBJECTS);
@@ -256,20 +256,20 @@
     f = start();
     SasFleet_RemoveServer(f->fleet, "e1");
     model = SasSteering_GetModel(f->steering);
-    SasSnapshot_Refresh(model, f->fleet, NULL);
+    SasFleetModel_Refresh(model, f->fleet, NULL);
     assert_int_equal(SasModel_FindBackend(model, "e1"), SasModel_NONE);
     struct sas_error error = {0};
     assert_null(SasConfig_Decode(model, text, strlen(text), &error));
-    SasSnapshot_AddNames(model, f->fleet, text, strlen(text));
+    SasFleetModel_AddNames(model, f->fleet, text, strlen(text));
     config = SasConfig_Decode(model, text, strlen(text), &error);
     assert_non_null(config);
     /* The row stays, at the same index, as long as the sheet names it. */
     int index = SasModel_FindBackend(model, "e1");
     SasFleet_RemoveServer(f->fleet, "e2");
-    SasSnapshot_Refresh(model, f->fleet, config);
+    SasFleetModel_Refresh(model, f->fleet, config);
     assert_int_equal(SasModel_FindBackend(model, "e1"), index);
     assert_int_equal(SasModel_FindBackend(model, "e2"), SasModel_NONE);
-    SasSnapshot_Refresh(model, f->fleet, NULL);
+    SasFleetModel_Refresh(model, f->fleet, NULL);
     assert_int_equal(SasModel_FindBackend(model, "e1"), SasModel_NONE);
     free(text);
     SasConfig_Unref(config);
--- a/packages/node/src/sheet_task.c
+++ b/packages/node/src/sheet_task.c
@@ -7,7 +7,7 @@
 #include "status_json.h"
 #include "mesh.h"
 #include "sas/log.h"
-#include "sas/snapshot.h"
+#include "sas/fleet_model.h"
 #include "sas/wall.h"
 
 #define TICK_MS 1000
@@ -60,15 +60,15 @@
     const struct sas_mesh *mesh = SasGateway_GetMesh(task->options.gateway);
     struct sas_mesh_view vm;
     if (SasConfigStore_IsIdle(task->config_store)) {
-        SasSnapshot_Refresh(model, task->options.fleet,
-                            SasConfigStore_GetCurrent(task->config_store));
+        SasFleetModel_Refresh(model, task->options.fleet,
+                              SasConfigStore_GetCurrent(task->config_store));
     }
     else {
-        SasSnapshot_Add(model, task->options.fleet);
+        SasFleetModel_Add(model, task->options.fleet);
     }
     for (int i = 0; SasMesh_GetView(mesh, i, &vm); i++) {
-        SasSnapshot_AddVm(model, vm.name,
-                          SasFleet_FindZone(task->options.fleet, vm.zone));
+        SasFleetModel_AddVm(model, vm.name,
+                            SasFleet_FindZone(task->options.fleet, vm.zone));
     }
 }
 
@@ -79,8 +79,8 @@
     struct sas_sheet_task *task = TASK_OF(listener, listener);
     refresh_model(task);
     if (config != NULL) {
-        SasSnapshot_AddNames(SasSteering_GetModel(task->options.steering),
-                             task->options.fleet, config, size);
+        SasFleetModel_AddNames(SasSteering_GetModel(task->options.steering),
+                               task->options.fleet, config, size);
     }
 }
 
