--- a/packages/core/include/sas/membership.h
+++ b/packages/core/include/sas/membership.h
@@ -33,9 +33,8 @@
 #include <stdint.h>
 
 #define SasMembership_DIGEST_MEMBERS 64 /* updates in one message */
-#define SasMembership_SUSPECT_TIMEOUTS                                        \
-    2 /* timeouts that raise a suspicion                                      \
-       */
+/* timeouts that raise a suspicion */
+#define SasMembership_SUSPECT_TIMEOUTS 2
 
 enum sas_member_state {
     SAS_MEMBER_UNKNOWN, /* no update of it yet */
@@ -177,38 +176,40 @@
  * without marks. The sheet and the platform's list mean the incarnation that
  * runs, so they have to be noted again at each evaluation. Incarnations are
  * hashes without order: the one with the report measured later is newer. */
-enum sas_departure_source {
-    SAS_DEPARTURE_SHEET = 1,
-    SAS_DEPARTURE_PLATFORM = 2,
-    SAS_DEPARTURE_SERVER = 4
+enum sas_leaving_server_source {
+    SAS_LEAVING_SERVER_SHEET = 1,
+    SAS_LEAVING_SERVER_PLATFORM = 2,
+    SAS_LEAVING_SERVER_REPORT = 4
 };
 
-struct sas_departure {
+struct sas_leaving_server {
     uint64_t incarnation; /* 0: unknown */
     int64_t measured_ms;  /* of its newest report */
-    unsigned sources;     /* set of enum sas_departure_source */
+    unsigned sources;     /* set of enum sas_leaving_server_source */
 };
 
-struct sas_departure_table {
-    struct sas_departure *backends;
+struct sas_leaving_server_table {
+    struct sas_leaving_server *backends;
     int count;
 };
 
-void SasDeparture_Init(struct sas_departure_table *table, int backend_count);
-void SasDeparture_Close(struct sas_departure_table *table);
+void SasLeavingServer_Init(struct sas_leaving_server_table *table,
+                           int backend_count);
+void SasLeavingServer_Close(struct sas_leaving_server_table *table);
 
 /* The sheet or the platform's list names the backend server. True if this
  * incarnation was not known to be leaving. */
-bool SasDeparture_NoteListed(struct sas_departure_table *table, int backend,
-                             enum sas_departure_source source);
+bool SasLeavingServer_NoteAnnounced(struct sas_leaving_server_table *table,
+                                    int backend,
+                                    enum sas_leaving_server_source source);
 
 /* A report of the server itself, received here or by a peer. True if it makes
  * the server known to be leaving. */
-bool SasDeparture_NoteReport(struct sas_departure_table *table, int backend,
-                             uint64_t incarnation, bool leaving,
-                             int64_t measured_ms);
+bool SasLeavingServer_NoteReport(struct sas_leaving_server_table *table,
+                                 int backend, uint64_t incarnation,
+                                 bool leaving, int64_t measured_ms);
 
-bool SasDeparture_IsLeaving(const struct sas_departure_table *table,
-                            int backend);
+bool SasLeavingServer_IsLeaving(const struct sas_leaving_server_table *table,
+                                int backend);
 
 #endif
--- a/packages/core/src/membership.c
+++ b/packages/core/src/membership.c
@@ -393,41 +393,43 @@
 /* Leaving backend servers */
 
 void
-SasDeparture_Init(struct sas_departure_table *table, int backend_count)
+SasLeavingServer_Init(struct sas_leaving_server_table *table,
+                      int backend_count)
 {
-    table->backends = g_new0(struct sas_departure, MAX(backend_count, 1));
+    table->backends = g_new0(struct sas_leaving_server, MAX(backend_count, 1));
     table->count = backend_count;
 }
 
 void
-SasDeparture_Close(struct sas_departure_table *table)
+SasLeavingServer_Close(struct sas_leaving_server_table *table)
 {
     g_free(table->backends);
     memset(table, 0, sizeof(*table));
 }
 
 bool
-SasDeparture_NoteListed(struct sas_departure_table *table, int backend,
-                        enum sas_departure_source source)
+SasLeavingServer_NoteAnnounced(struct sas_leaving_server_table *table,
+                               int backend,
+                               enum sas_leaving_server_source source)
 {
     if (backend < 0 || backend >= table->count) {
         return false;
     }
-    struct sas_departure *departure = &table->backends[backend];
+    struct sas_leaving_server *departure = &table->backends[backend];
     bool is_new = departure->sources == 0;
     departure->sources |= source;
     return is_new;
 }
 
 bool
-SasDeparture_NoteReport(struct sas_departure_table *table, int backend,
-                        uint64_t incarnation, bool leaving,
-                        int64_t measured_ms)
+SasLeavingServer_NoteReport(struct sas_leaving_server_table *table,
+                            int backend, uint64_t incarnation, bool leaving,
+                            int64_t measured_ms)
 {
     if (backend < 0 || backend >= table->count || incarnation == 0) {
         return false;
     }
-    struct sas_departure *departure = &table->backends[backend];
+    struct sas_leaving_server *departure = &table->backends[backend];
     if (departure->incarnation == 0) {
         departure->incarnation = incarnation;
         departure->measured_ms = measured_ms;
@@ -441,12 +443,13 @@
     }
     departure->measured_ms = MAX(departure->measured_ms, measured_ms);
     bool is_new = leaving && departure->sources == 0;
-    departure->sources |= leaving ? SAS_DEPARTURE_SERVER : 0;
+    departure->sources |= leaving ? SAS_LEAVING_SERVER_REPORT : 0;
     return is_new;
 }
 
 bool
-SasDeparture_IsLeaving(const struct sas_departure_table *table, int backend)
+SasLeavingServer_IsLeaving(const struct sas_leaving_server_table *table,
+                           int backend)
 {
     return backend >= 0 && backend < table->count &&
            table->backends[backend].sources != 0;
--- a/packages/core/tests/property_membership.py
+++ b/packages/core/tests/property_membership.py
@@ -69,9 +69,9 @@
     ctypes.POINTER(Membership), c_int, c_int, c_uint64, c_int64]
 lib.SasMembership_Merge.argtypes = [
     ctypes.POINTER(Membership), ctypes.POINTER(Update), c_int64]
-lib.SasDeparture_NoteReport.argtypes = [
+lib.SasLeavingServer_NoteReport.argtypes = [
     ctypes.POINTER(Departures), c_int, c_uint64, c_bool, c_int64]
-lib.SasDeparture_NoteReport.restype = c_bool
+lib.SasLeavingServer_NoteReport.restype = c_bool
 
 update_rows = st.tuples(
     st.integers(0, MEMBERS - 1), st.booleans(), st.integers(0, 3),
@@ -182,13 +182,13 @@
     order = data.draw(st.permutations(reports))
     order += data.draw(st.lists(st.sampled_from(reports), max_size=5))
     table = Departures()
-    lib.SasDeparture_Init(byref(table), 1)
+    lib.SasLeavingServer_Init(byref(table), 1)
     for incarnation, leaving, measured in order:
-        lib.SasDeparture_NoteReport(byref(table), 0, incarnation, leaving,
+        lib.SasLeavingServer_NoteReport(byref(table), 0, incarnation, leaving,
                                     measured)
     assert table.backends[0].incarnation == len(incarnations)
     assert bool(table.backends[0].sources) == any(incarnations[-1])
-    lib.SasDeparture_Close(byref(table))
+    lib.SasLeavingServer_Close(byref(table))
 
 
 if __name__ == "__main__":
--- a/packages/core/tests/test_membership.c
+++ b/packages/core/tests/test_membership.c
@@ -297,21 +297,22 @@
 test_one_source_marks_a_server_as_leaving(void **state)
 {
     (void)state;
-    struct sas_departure_table departures;
-    SasDeparture_Init(&departures, 3);
-    SasDeparture_NoteReport(&departures, 0, 11, false, 100);
-    assert_false(SasDeparture_IsLeaving(&departures, 0));
-    assert_true(SasDeparture_NoteReport(&departures, 0, 11, true, 200));
-    assert_false(SasDeparture_NoteReport(&departures, 0, 11, false, 300));
-    assert_true(SasDeparture_IsLeaving(&departures, 0));
-    assert_true(SasDeparture_NoteListed(&departures, 1, SAS_DEPARTURE_SHEET));
-    SasDeparture_NoteReport(&departures, 1, 12, false, 300);
-    assert_true(SasDeparture_IsLeaving(&departures, 1));
-    assert_true(
-        SasDeparture_NoteListed(&departures, 2, SAS_DEPARTURE_PLATFORM));
-    assert_true(SasDeparture_IsLeaving(&departures, 2));
-    assert_false(SasDeparture_IsLeaving(&departures, 3));
-    SasDeparture_Close(&departures);
+    struct sas_leaving_server_table departures;
+    SasLeavingServer_Init(&departures, 3);
+    SasLeavingServer_NoteReport(&departures, 0, 11, false, 100);
+    assert_false(SasLeavingServer_IsLeaving(&departures, 0));
+    assert_true(SasLeavingServer_NoteReport(&departures, 0, 11, true, 200));
+    assert_false(SasLeavingServer_NoteReport(&departures, 0, 11, false, 300));
+    assert_true(SasLeavingServer_IsLeaving(&departures, 0));
+    assert_true(SasLeavingServer_NoteAnnounced(&departures, 1,
+                                               SAS_LEAVING_SERVER_SHEET));
+    SasLeavingServer_NoteReport(&departures, 1, 12, false, 300);
+    assert_true(SasLeavingServer_IsLeaving(&departures, 1));
+    assert_true(SasLeavingServer_NoteAnnounced(&departures, 2,
+                                               SAS_LEAVING_SERVER_PLATFORM));
+    assert_true(SasLeavingServer_IsLeaving(&departures, 2));
+    assert_false(SasLeavingServer_IsLeaving(&departures, 3));
+    SasLeavingServer_Close(&departures);
 }
 
 /* A server reports that it is leaving, and restarts. A peer's report of before
@@ -320,14 +321,14 @@
 test_restarted_server_is_not_leaving(void **state)
 {
     (void)state;
-    struct sas_departure_table departures;
-    SasDeparture_Init(&departures, 1);
-    SasDeparture_NoteReport(&departures, 0, 11, true, 100);
-    SasDeparture_NoteReport(&departures, 0, 22, false, 200);
-    assert_false(SasDeparture_IsLeaving(&departures, 0));
-    assert_false(SasDeparture_NoteReport(&departures, 0, 11, true, 150));
-    assert_false(SasDeparture_IsLeaving(&departures, 0));
-    SasDeparture_Close(&departures);
+    struct sas_leaving_server_table departures;
+    SasLeavingServer_Init(&departures, 1);
+    SasLeavingServer_NoteReport(&departures, 0, 11, true, 100);
+    SasLeavingServer_NoteReport(&departures, 0, 22, false, 200);
+    assert_false(SasLeavingServer_IsLeaving(&departures, 0));
+    assert_false(SasLeavingServer_NoteReport(&departures, 0, 11, true, 150));
+    assert_false(SasLeavingServer_IsLeaving(&departures, 0));
+    SasLeavingServer_Close(&departures);
 }
 
 int
--- a/packages/node/src/router.c
+++ b/packages/node/src/router.c
@@ -16,7 +16,7 @@
 free_tables(struct sas_router *router)
 {
     g_free(router->backends);
-    SasDeparture_Close(&router->departures);
+    SasLeavingServer_Close(&router->departures);
     g_free(router->vms);
     g_free(router->views);
 
@@ -36,7 +36,7 @@
     router->options = *options;
     router->model = model;
     router->backends = g_new0(struct backend_row, model->backend_count);
-    SasDeparture_Init(&router->departures, model->backend_count);
+    SasLeavingServer_Init(&router->departures, model->backend_count);
     router->vms = g_new0(struct vm_row, model->vm_count);
     router->views = g_new0(struct sas_vm_status, model->vm_count);
 
--- a/packages/node/src/router_state.h
+++ b/packages/node/src/router_state.h
@@ -40,7 +40,7 @@
     struct sas_lookup lookup;
     struct sas_load_estimate measure;
     struct backend_row *backends;
-    struct sas_departure_table departures;
+    struct sas_leaving_server_table departures;
     struct vm_row *vms;
     struct sas_vm_status *views;
     bool shares_seeded; /* with a peer's shares */
--- a/packages/node/src/router_updates.c
+++ b/packages/node/src/router_updates.c
@@ -20,7 +20,7 @@
 is_reported_leaving(const struct sas_router *router, int backend)
 {
     return router->backends[backend].listed_leaving ||
-           SasDeparture_IsLeaving(&router->departures, backend);
+           SasLeavingServer_IsLeaving(&router->departures, backend);
 }
 
 void
@@ -72,13 +72,13 @@
                int64_t measured_ms)
 {
     if (incarnation != 0) {
-        return SasDeparture_NoteReport(&router->departures, backend,
-                                       incarnation, report->leaving,
-                                       measured_ms);
+        return SasLeavingServer_NoteReport(&router->departures, backend,
+                                           incarnation, report->leaving,
+                                           measured_ms);
     }
     return report->leaving &&
-           SasDeparture_NoteListed(&router->departures, backend,
-                                   SAS_DEPARTURE_SERVER);
+           SasLeavingServer_NoteAnnounced(&router->departures, backend,
+                                          SAS_LEAVING_SERVER_REPORT);
 }
 
 void
@@ -138,8 +138,8 @@
         return;
     }
     if (leaving && !router->backends[backend].listed_leaving) {
-        SasDeparture_NoteListed(&router->departures, backend,
-                                SAS_DEPARTURE_PLATFORM);
+        SasLeavingServer_NoteAnnounced(&router->departures, backend,
+                                       SAS_LEAVING_SERVER_PLATFORM);
     }
     router->backends[backend].listed_leaving = leaving;
     update_leaving(router, backend);
