--- a/packages/node/src/lending.c
+++ b/packages/node/src/lending.c
@@ -493,8 +493,8 @@
     };
     struct pending_call *pending =
         create_pending_call(lending, budget, member_id, loan, renewal);
-    if (SasPeer_AskBorrow(lending->peer, member_id, &borrow, CALL_TIMEOUT_MS,
-                          on_borrow_answer, pending, NULL) != 0) {
+    if (SasPeer_CallBorrow(lending->peer, member_id, &borrow, CALL_TIMEOUT_MS,
+                           on_borrow_answer, pending, NULL) != 0) {
         entry->requesting = renewal == 0 ? false : entry->requesting;
         g_free(pending);
     }
@@ -549,8 +549,8 @@
         .loan = id,
         .units = (uint64_t)left,
     };
-    SasPeer_AskReturn(lending->peer, member_id, &back, CALL_TIMEOUT_MS,
-                      on_return_answer, NULL, NULL);
+    SasPeer_CallReturn(lending->peer, member_id, &back, CALL_TIMEOUT_MS,
+                       on_return_answer, NULL, NULL);
 }
 
 static void
@@ -627,8 +627,9 @@
         }
         struct pending_call *pending =
             create_pending_call(lending, 0, member_id, 0, 0);
-        if (SasPeer_AskDisown(lending->peer, member_id, &list, CALL_TIMEOUT_MS,
-                              on_disown_answer, pending, NULL) != 0) {
+        if (SasPeer_CallDisown(lending->peer, member_id, &list,
+                               CALL_TIMEOUT_MS, on_disown_answer, pending,
+                               NULL) != 0) {
             g_free(pending);
         }
     }
--- a/packages/node/src/peer_sync.c
+++ b/packages/node/src/peer_sync.c
@@ -73,13 +73,13 @@
     struct sas_peer_sync *sync = g_new0(struct sas_peer_sync, 1);
     sync->options = *options;
     sync->handler.fill_gossip = fill_gossip;
-    sync->handler.apply_gossip = apply_gossip;
-    sync->handler.provide_config = provide_config;
-    sync->handler.apply_config = adopt_config;
-    sync->handler.apply_quarantines = apply_quarantines;
-    sync->handler.answer_borrow = answer_borrow;
-    sync->handler.accept_return = accept_return;
-    sync->handler.answer_disown = answer_disown;
+    sync->handler.on_gossip = apply_gossip;
+    sync->handler.get_config = provide_config;
+    sync->handler.on_config = adopt_config;
+    sync->handler.on_quarantines = apply_quarantines;
+    sync->handler.on_borrow = answer_borrow;
+    sync->handler.on_return = accept_return;
+    sync->handler.on_disown = answer_disown;
     sync->loads = g_new0(struct own_report, model->backend_count);
     sync->gossip_loads = g_new0(struct sas_rpc_load, model->backend_count);
     struct sas_peer_options peer_options;
@@ -136,7 +136,7 @@
 void
 SasPeerSync_NoteChange(struct sas_peer_sync *sync)
 {
-    SasPeer_NoteChange(sync->peer);
+    SasPeer_GossipSoon(sync->peer);
 }
 
 void
--- a/packages/peer/include/sas/peer.h
+++ b/packages/peer/include/sas/peer.h
@@ -34,8 +34,8 @@
 #define SasPeer_MAX_QUEUED (1024 * 1024) /* unsent bytes of a connection */
 #define SasPeer_CONNECTIONS_PER_MEMBER 4 /* accepted from its address */
 #define SasPeer_SPARE_CONNECTIONS 64     /* accepted beyond 2 per member */
-#define SasPeer_RUMOR_FANOUT 3           /* peers in an extra round (rumor) */
-#define SasPeer_RUMOR_BURST 4            /* extra rounds without a wait */
+#define SasPeer_EXTRA_ROUND_FANOUT 3     /* peers in an extra round (rumor) */
+#define SasPeer_EXTRA_ROUND_BURST 4      /* extra rounds without a wait */
 #define SasPeer_MAX_FETCHES 2            /* pending config fetches */
 
 struct sas_peer;
@@ -45,31 +45,31 @@
     void (*fill_gossip)(struct sas_peer_handler *handler,
                         struct sas_rpc_gossip *gossip);
     /* True if it contains something new, which starts an extra round. */
-    bool (*apply_gossip)(struct sas_peer_handler *handler, int member_id,
-                         const struct sas_rpc_gossip *gossip);
+    bool (*on_gossip)(struct sas_peer_handler *handler, int member_id,
+                      const struct sas_rpc_gossip *gossip);
     /* Sets the configuration in force, or a delta to it, if its version is
      * higher than `have`. */
-    int (*provide_config)(struct sas_peer_handler *handler, uint64_t have,
-                          struct sas_rpc_config *config);
+    int (*get_config)(struct sas_peer_handler *handler, uint64_t have,
+                      struct sas_rpc_config *config);
     /* True if the configuration was adopted. */
-    bool (*apply_config)(struct sas_peer_handler *handler, int member_id,
-                         const struct sas_rpc_config *config);
+    bool (*on_config)(struct sas_peer_handler *handler, int member_id,
+                      const struct sas_rpc_config *config);
     /* Returns the units lent, 0 for none; the lender must have lowered its
      * share before. */
-    uint64_t (*answer_borrow)(struct sas_peer_handler *handler, int member_id,
-                              const struct sas_rpc_borrow *borrow);
-    int (*accept_return)(struct sas_peer_handler *handler, int member_id,
-                         const struct sas_rpc_return *back);
+    uint64_t (*on_borrow)(struct sas_peer_handler *handler, int member_id,
+                          const struct sas_rpc_borrow *borrow);
+    int (*on_return)(struct sas_peer_handler *handler, int member_id,
+                     const struct sas_rpc_return *back);
     /* Leaves those rows in the list of which no loan of the member is held
      * here. */
-    void (*answer_disown)(struct sas_peer_handler *handler, int member_id,
-                          struct sas_rpc_disown_list *rows);
+    void (*on_disown)(struct sas_peer_handler *handler, int member_id,
+                      struct sas_rpc_disown_list *rows);
     /* True if an entry is new here. */
-    bool (*apply_quarantines)(struct sas_peer_handler *handler, int member_id,
-                              const struct sas_rpc_quarantine *entries,
-                              int count);
-    bool (*apply_leaving)(struct sas_peer_handler *handler, int member_id,
-                          const struct sas_rpc_leaving *leaving);
+    bool (*on_quarantines)(struct sas_peer_handler *handler, int member_id,
+                           const struct sas_rpc_quarantine *entries,
+                           int count);
+    bool (*on_leaving)(struct sas_peer_handler *handler, int member_id,
+                       const struct sas_rpc_leaving *leaving);
 };
 
 struct sas_peer_options {
@@ -107,12 +107,12 @@
     SAS_PEER_CALLS_LOST, /* connection ended before the answer */
     SAS_PEER_CALLS_TIMEOUT,
     SAS_PEER_ANSWERS,
-    SAS_PEER_ANSWERS_LATE, /* no call is pending for them */
+    SAS_PEER_REPLIES_LATE, /* no call is pending for them */
     SAS_PEER_ANSWERS_REFUSED,
     SAS_PEER_SERVED,
     SAS_PEER_ROUNDS,
-    SAS_PEER_RUMORS,
-    SAS_PEER_RUMORS_HELD, /* left to the next round by the rate limit */
+    SAS_PEER_EXTRA_ROUNDS,
+    SAS_PEER_EXTRA_ROUNDS_HELD, /* left to the next round by the rate limit */
     SAS_PEER_FETCHES,
     SAS_PEER_CONFIGS_TAKEN,
     SAS_PEER_BYTES_IN,
@@ -156,29 +156,29 @@
 
 /* Calls. 0: the callback will run exactly once; -1: it won't. timeout_ms 0:
  * that of the options. */
-int SasPeer_AskGossip(struct sas_peer *peer, int member_id, int64_t timeout_ms,
-                      SasPeer_AnswerFn *callback, void *context,
-                      struct sas_error *error);
-int SasPeer_AskConfig(struct sas_peer *peer, int member_id, uint64_t have,
-                      int64_t timeout_ms, SasPeer_AnswerFn *callback,
-                      void *context, struct sas_error *error);
-int SasPeer_AskBorrow(struct sas_peer *peer, int member_id,
-                      const struct sas_rpc_borrow *borrow, int64_t timeout_ms,
-                      SasPeer_AnswerFn *callback, void *context,
-                      struct sas_error *error);
-int SasPeer_AskReturn(struct sas_peer *peer, int member_id,
-                      const struct sas_rpc_return *back, int64_t timeout_ms,
-                      SasPeer_AnswerFn *callback, void *context,
-                      struct sas_error *error);
-
-int SasPeer_AskDisown(struct sas_peer *peer, int member_id,
-                      const struct sas_rpc_disown_list *rows,
-                      int64_t timeout_ms, SasPeer_AnswerFn *callback,
-                      void *context, struct sas_error *error);
+int SasPeer_CallGossip(struct sas_peer *peer, int member_id,
+                       int64_t timeout_ms, SasPeer_AnswerFn *callback,
+                       void *context, struct sas_error *error);
+int SasPeer_CallConfig(struct sas_peer *peer, int member_id, uint64_t have,
+                       int64_t timeout_ms, SasPeer_AnswerFn *callback,
+                       void *context, struct sas_error *error);
+int SasPeer_CallBorrow(struct sas_peer *peer, int member_id,
+                       const struct sas_rpc_borrow *borrow, int64_t timeout_ms,
+                       SasPeer_AnswerFn *callback, void *context,
+                       struct sas_error *error);
+int SasPeer_CallReturn(struct sas_peer *peer, int member_id,
+                       const struct sas_rpc_return *back, int64_t timeout_ms,
+                       SasPeer_AnswerFn *callback, void *context,
+                       struct sas_error *error);
+
+int SasPeer_CallDisown(struct sas_peer *peer, int member_id,
+                       const struct sas_rpc_disown_list *rows,
+                       int64_t timeout_ms, SasPeer_AnswerFn *callback,
+                       void *context, struct sas_error *error);
 
 /* The own gossip changed, for example by a new configuration: starts an extra
  * round with a few random peers, which pass it on. */
-void SasPeer_NoteChange(struct sas_peer *peer);
+void SasPeer_GossipSoon(struct sas_peer *peer);
 
 /* Sends to a few random peers at once, which pass on what is new to them.
  * SetLeaving also marks the own member as leaving for good. */
--- a/packages/peer/src/call.c
+++ b/packages/peer/src/call.c
@@ -93,11 +93,11 @@
     struct sas_call *call =
         g_hash_table_lookup(peer->calls, GUINT_TO_POINTER(message->xid));
     if (call == NULL || call->connection != connection) {
-        SasPeer_Count(peer, SAS_PEER_ANSWERS_LATE);
+        SasPeer_Count(peer, SAS_PEER_REPLIES_LATE);
         return;
     }
     if (SasPeer_GetNow() >= call->deadline_ms) {
-        SasPeer_Count(peer, SAS_PEER_ANSWERS_LATE);
+        SasPeer_Count(peer, SAS_PEER_REPLIES_LATE);
         SasPeer_Count(peer, SAS_PEER_CALLS_TIMEOUT);
         fail(peer, call, SAS_ETIMEOUT, "the answer arrived after the timeout");
         return;
--- a/packages/peer/src/gossip.c
+++ b/packages/peer/src/gossip.c
@@ -44,7 +44,7 @@
     for (int i = 0; i < SasPeer_MAX_FETCHES; i++) {
         peer->fetching_from[i] = SasModel_NONE;
     }
-    peer->rumor_tokens = SasPeer_RUMOR_BURST;
+    peer->rumor_tokens = SasPeer_EXTRA_ROUND_BURST;
     peer->rumor_refill_ms = SasPeer_GetNow();
     uint64_t first_ms = (uint64_t)g_rand_int_range(peer->options.random, 0,
                                                    (gint32)interval_ms + 1);
@@ -61,9 +61,9 @@
 /* Public calls */
 
 int
-SasPeer_AskGossip(struct sas_peer *peer, int member_id, int64_t timeout_ms,
-                  SasPeer_AnswerFn *callback, void *context,
-                  struct sas_error *error)
+SasPeer_CallGossip(struct sas_peer *peer, int member_id, int64_t timeout_ms,
+                   SasPeer_AnswerFn *callback, void *context,
+                   struct sas_error *error)
 {
     struct sas_rpc_seat seats[SasMembership_DIGEST_MEMBERS];
     union sas_proto_body body;
@@ -84,14 +84,14 @@
  * calls at all of them. An extra round costs a token; without one the change
  * waits for the next regular round, which carries it too. */
 void
-SasPeer_NoteChange(struct sas_peer *peer)
+SasPeer_GossipSoon(struct sas_peer *peer)
 {
     if (peer->closing || peer->rumor_waiting) {
         return;
     }
     refill_rumor_tokens(peer);
     if (peer->rumor_tokens < 1) {
-        SasPeer_Count(peer, SAS_PEER_RUMORS_HELD);
+        SasPeer_Count(peer, SAS_PEER_EXTRA_ROUNDS_HELD);
         return;
     }
     peer->rumor_tokens -= 1;
@@ -108,7 +108,7 @@
     body.quarantine.entries.entries_len = (u_int)count;
     body.quarantine.entries.entries_val = (struct sas_rpc_quarantine *)entries;
     send_to_random_members(peer, SAS_RPC_QUARANTINE, &body,
-                           SasPeer_RUMOR_FANOUT);
+                           SasPeer_EXTRA_ROUND_FANOUT);
 }
 
 void
@@ -121,7 +121,8 @@
     body.leaving.backends.backends_len = (u_int)count;
     body.leaving.backends.backends_val =
         (struct sas_rpc_leaving_backend *)backends;
-    send_to_random_members(peer, SAS_RPC_LEAVE, &body, SasPeer_RUMOR_FANOUT);
+    send_to_random_members(peer, SAS_RPC_LEAVE, &body,
+                           SasPeer_EXTRA_ROUND_FANOUT);
 }
 
 void
@@ -134,7 +135,8 @@
     memset(&body, 0, sizeof(body));
     body.leaving.seat = (u_int)peer->own_id;
     body.leaving.incarnation = peer->incarnation;
-    send_to_random_members(peer, SAS_RPC_LEAVE, &body, SasPeer_RUMOR_FANOUT);
+    send_to_random_members(peer, SAS_RPC_LEAVE, &body,
+                           SasPeer_EXTRA_ROUND_FANOUT);
 }
 
 /* Sending and applying gossip */
@@ -179,14 +181,13 @@
                 const struct sas_rpc_gossip *gossip)
 {
     int changes = merge_members(peer, member_id, gossip);
-    bool is_new =
-        peer->handler->apply_gossip != NULL &&
-        peer->handler->apply_gossip(peer->handler, member_id, gossip);
+    bool is_new = peer->handler->on_gossip != NULL &&
+                  peer->handler->on_gossip(peer->handler, member_id, gossip);
     if (is_newer(peer, gossip->config_version)) {
         fetch_config(peer, member_id);
     }
     if (is_new || (changes & SAS_CHANGE_MEMBER) != 0) {
-        SasPeer_NoteChange(peer);
+        SasPeer_GossipSoon(peer);
     }
 }
 
@@ -194,12 +195,12 @@
 SasGossip_ApplyQuarantines(struct sas_peer *peer, int member_id,
                            const struct sas_rpc_quarantine_list *list)
 {
-    if (peer->handler->apply_quarantines == NULL) {
+    if (peer->handler->on_quarantines == NULL) {
         return;
     }
-    if (peer->handler->apply_quarantines(peer->handler, member_id,
-                                         list->entries.entries_val,
-                                         (int)list->entries.entries_len)) {
+    if (peer->handler->on_quarantines(peer->handler, member_id,
+                                      list->entries.entries_val,
+                                      (int)list->entries.entries_len)) {
         SasPeer_SendQuarantines(peer, list->entries.entries_val,
                                 (int)list->entries.entries_len);
     }
@@ -209,9 +210,8 @@
 SasGossip_ApplyLeaving(struct sas_peer *peer, int member_id,
                        const struct sas_rpc_leaving *leaving)
 {
-    bool is_new =
-        peer->handler->apply_leaving != NULL &&
-        peer->handler->apply_leaving(peer->handler, member_id, leaving);
+    bool is_new = peer->handler->on_leaving != NULL &&
+                  peer->handler->on_leaving(peer->handler, member_id, leaving);
     if (leaving->seat < (u_int)peer->model->vm_count &&
         leaving->seat != (u_int)peer->own_id) {
         struct sas_member_update update = {
@@ -225,7 +225,7 @@
     if (is_new) {
         union sas_proto_body body = {.leaving = *leaving};
         send_to_random_members(peer, SAS_RPC_LEAVE, &body,
-                               SasPeer_RUMOR_FANOUT);
+                               SasPeer_EXTRA_ROUND_FANOUT);
     }
 }
 
@@ -245,8 +245,8 @@
 {
     struct sas_peer *peer = timer->data;
     peer->rumor_waiting = false;
-    SasPeer_Count(peer, SAS_PEER_RUMORS);
-    gossip_with_random_members(peer, SasPeer_RUMOR_FANOUT);
+    SasPeer_Count(peer, SAS_PEER_EXTRA_ROUNDS);
+    gossip_with_random_members(peer, SasPeer_EXTRA_ROUND_FANOUT);
 }
 
 static void
@@ -264,7 +264,7 @@
 static void
 start_gossip(struct sas_peer *peer, int member_id)
 {
-    SasPeer_AskGossip(peer, member_id, 0, NULL, NULL, NULL);
+    SasPeer_CallGossip(peer, member_id, 0, NULL, NULL, NULL);
 }
 
 static void
@@ -289,7 +289,7 @@
 {
     if (SasMembership_NoteTimeout(&peer->membership, member_id,
                                   SasPeer_GetNow()) != 0) {
-        SasPeer_NoteChange(peer);
+        SasPeer_GossipSoon(peer);
     }
     else if (SasMembership_ShouldRetry(&peer->membership, member_id)) {
         start_gossip(peer, member_id);
@@ -305,7 +305,7 @@
     peer->rumor_refill_ms = now_ms;
     peer->rumor_tokens =
         MIN(peer->rumor_tokens + rounds * RUMOR_TOKENS_PER_ROUND,
-            SasPeer_RUMOR_BURST);
+            SasPeer_EXTRA_ROUND_BURST);
 }
 
 static int
@@ -373,8 +373,8 @@
         return;
     }
     struct pending_call *pending = new_pending_call(peer, member_id);
-    if (SasPeer_AskConfig(peer, member_id, peer->own_version, 0,
-                          on_config_answer, pending, NULL) < 0) {
+    if (SasPeer_CallConfig(peer, member_id, peer->own_version, 0,
+                           on_config_answer, pending, NULL) < 0) {
         g_free(pending);
         return;
     }
@@ -393,15 +393,14 @@
             peer->fetching_from[i] = SasModel_NONE;
         }
     }
-    if (error != NULL || peer->closing ||
-        peer->handler->apply_config == NULL ||
+    if (error != NULL || peer->closing || peer->handler->on_config == NULL ||
         body->config.number <= peer->own_version) {
         return;
     }
-    if (peer->handler->apply_config(peer->handler, pending->member_id,
-                                    &body->config)) {
+    if (peer->handler->on_config(peer->handler, pending->member_id,
+                                 &body->config)) {
         SasPeer_Count(peer, SAS_PEER_CONFIGS_TAKEN);
-        SasPeer_NoteChange(peer);
+        SasPeer_GossipSoon(peer);
     }
 }
 
--- a/packages/peer/src/peer.c
+++ b/packages/peer/src/peer.c
@@ -34,12 +34,12 @@
     [SAS_PEER_CALLS_LOST] = "calls_lost",
     [SAS_PEER_CALLS_TIMEOUT] = "calls_timeout",
     [SAS_PEER_ANSWERS] = "answers",
-    [SAS_PEER_ANSWERS_LATE] = "answers_late",
+    [SAS_PEER_REPLIES_LATE] = "answers_late",
     [SAS_PEER_ANSWERS_REFUSED] = "answers_refused",
     [SAS_PEER_SERVED] = "served",
     [SAS_PEER_ROUNDS] = "rounds",
-    [SAS_PEER_RUMORS] = "rumors",
-    [SAS_PEER_RUMORS_HELD] = "rumors_held",
+    [SAS_PEER_EXTRA_ROUNDS] = "rumors",
+    [SAS_PEER_EXTRA_ROUNDS_HELD] = "rumors_held",
     [SAS_PEER_FETCHES] = "fetches",
     [SAS_PEER_CONFIGS_TAKEN] = "configs_taken",
     [SAS_PEER_BYTES_IN] = "bytes_in",
@@ -166,9 +166,9 @@
 /* Calls */
 
 int
-SasPeer_AskConfig(struct sas_peer *peer, int member_id, uint64_t have,
-                  int64_t timeout_ms, SasPeer_AnswerFn *callback,
-                  void *context, struct sas_error *error)
+SasPeer_CallConfig(struct sas_peer *peer, int member_id, uint64_t have,
+                   int64_t timeout_ms, SasPeer_AnswerFn *callback,
+                   void *context, struct sas_error *error)
 {
     union sas_proto_body body = {.fetch = {.have_version = have}};
     return SasCall_Start(peer, member_id, SAS_RPC_FETCH_CONFIG, &body,
@@ -176,10 +176,10 @@
 }
 
 int
-SasPeer_AskBorrow(struct sas_peer *peer, int member_id,
-                  const struct sas_rpc_borrow *borrow, int64_t timeout_ms,
-                  SasPeer_AnswerFn *callback, void *context,
-                  struct sas_error *error)
+SasPeer_CallBorrow(struct sas_peer *peer, int member_id,
+                   const struct sas_rpc_borrow *borrow, int64_t timeout_ms,
+                   SasPeer_AnswerFn *callback, void *context,
+                   struct sas_error *error)
 {
     union sas_proto_body body = {.borrow = *borrow};
     return SasCall_Start(peer, member_id, SAS_RPC_BORROW, &body, timeout_ms,
@@ -187,10 +187,10 @@
 }
 
 int
-SasPeer_AskReturn(struct sas_peer *peer, int member_id,
-                  const struct sas_rpc_return *back, int64_t timeout_ms,
-                  SasPeer_AnswerFn *callback, void *context,
-                  struct sas_error *error)
+SasPeer_CallReturn(struct sas_peer *peer, int member_id,
+                   const struct sas_rpc_return *back, int64_t timeout_ms,
+                   SasPeer_AnswerFn *callback, void *context,
+                   struct sas_error *error)
 {
     union sas_proto_body body = {.give_back = *back};
     return SasCall_Start(peer, member_id, SAS_RPC_RETURN, &body, timeout_ms,
@@ -198,10 +198,10 @@
 }
 
 int
-SasPeer_AskDisown(struct sas_peer *peer, int member_id,
-                  const struct sas_rpc_disown_list *rows, int64_t timeout_ms,
-                  SasPeer_AnswerFn *callback, void *context,
-                  struct sas_error *error)
+SasPeer_CallDisown(struct sas_peer *peer, int member_id,
+                   const struct sas_rpc_disown_list *rows, int64_t timeout_ms,
+                   SasPeer_AnswerFn *callback, void *context,
+                   struct sas_error *error)
 {
     union sas_proto_body body = {.disown = *rows};
     return SasCall_Start(peer, member_id, SAS_RPC_DISOWN, &body, timeout_ms,
@@ -501,22 +501,22 @@
 serve_config(struct sas_peer *peer, uint64_t have,
              struct sas_rpc_config *config)
 {
-    if (peer->handler->provide_config == NULL) {
+    if (peer->handler->get_config == NULL) {
         return -1;
     }
-    return peer->handler->provide_config(peer->handler, have, config);
+    return peer->handler->get_config(peer->handler, have, config);
 }
 
 static int
 serve_borrow(struct sas_peer *peer, int member_id,
              const struct sas_rpc_borrow *borrow, struct sas_rpc_grant *grant)
 {
-    if (peer->handler->answer_borrow == NULL) {
+    if (peer->handler->on_borrow == NULL) {
         return -1;
     }
     grant->loan = borrow->loan;
     grant->granted =
-        peer->handler->answer_borrow(peer->handler, member_id, borrow);
+        peer->handler->on_borrow(peer->handler, member_id, borrow);
     return 0;
 }
 
@@ -526,11 +526,11 @@
              const struct sas_rpc_disown_list *rows,
              struct sas_rpc_disown_list *clear)
 {
-    if (peer->handler->answer_disown == NULL) {
+    if (peer->handler->on_disown == NULL) {
         return -1;
     }
     *clear = *rows;
-    peer->handler->answer_disown(peer->handler, member_id, clear);
+    peer->handler->on_disown(peer->handler, member_id, clear);
     return 0;
 }
 
@@ -538,8 +538,8 @@
 serve_return(struct sas_peer *peer, int member_id,
              const struct sas_rpc_return *back)
 {
-    if (peer->handler->accept_return == NULL) {
+    if (peer->handler->on_return == NULL) {
         return -1;
     }
-    return peer->handler->accept_return(peer->handler, member_id, back);
+    return peer->handler->on_return(peer->handler, member_id, back);
 }
--- a/packages/peer/tests/test_peer.c
+++ b/packages/peer/tests/test_peer.c
@@ -142,12 +142,12 @@
     memset(owner, 0, sizeof(*owner));
     owner->handler = (struct sas_peer_handler){
         .fill_gossip = fill_gossip,
-        .apply_gossip = apply_gossip,
-        .provide_config = provide_config,
-        .apply_config = apply_config,
-        .answer_borrow = answer_borrow,
-        .apply_quarantines = apply_quarantines,
-        .apply_leaving = apply_leaving,
+        .on_gossip = apply_gossip,
+        .get_config = provide_config,
+        .on_config = apply_config,
+        .on_borrow = answer_borrow,
+        .on_quarantines = apply_quarantines,
+        .on_leaving = apply_leaving,
     };
     owner->random = g_rand_new_with_seed((guint32)member_id + 1);
     SasPeer_InitOptions(&options);
@@ -252,7 +252,7 @@
     start_all(9);
     assert_true(run_until(all_are_live_at_all));
     owners[4].version = 5;
-    SasPeer_NoteChange(owners[4].peer);
+    SasPeer_GossipSoon(owners[4].peer);
     assert_true(run_until(all_have_version_5));
     assert_true(owners[0].load_seen > 0);
     finish();
@@ -325,8 +325,8 @@
     struct sas_rpc_borrow borrow = {.budget = 1, .loan = 9, .wanted = 4};
     answers = 0;
     granted = 0;
-    assert_int_equal(SasPeer_AskBorrow(owners[from].peer, to, &borrow, 0,
-                                       on_grant, NULL, NULL),
+    assert_int_equal(SasPeer_CallBorrow(owners[from].peer, to, &borrow, 0,
+                                        on_grant, NULL, NULL),
                      0);
 }
 
@@ -339,9 +339,9 @@
     assert_true(run_until(is_answered));
     assert_int_equal(granted, 4);
     assert_int_equal(owners[1].lent, 4);
-    assert_int_equal(SasPeer_AskBorrow(owners[0].peer, 0,
-                                       &(struct sas_rpc_borrow){0}, 0,
-                                       on_grant, NULL, NULL),
+    assert_int_equal(SasPeer_CallBorrow(owners[0].peer, 0,
+                                        &(struct sas_rpc_borrow){0}, 0,
+                                        on_grant, NULL, NULL),
                      -1);
     finish();
 }
@@ -367,8 +367,8 @@
     owners[1].version = 8;
     for (uint64_t have = 7; have <= 8; have++) {
         answers = 0;
-        assert_int_equal(SasPeer_AskConfig(owners[0].peer, 1, have, 0,
-                                           on_fetched, NULL, NULL),
+        assert_int_equal(SasPeer_CallConfig(owners[0].peer, 1, have, 0,
+                                            on_fetched, NULL, NULL),
                          0);
         assert_true(run_until(is_answered));
         assert_int_equal(fetched_number, have == 7 ? 8 : 0);
@@ -451,7 +451,7 @@
     }
     request_loan(0, 4);
     owners[0].version = 5;
-    SasPeer_NoteChange(owners[0].peer);
+    SasPeer_GossipSoon(owners[0].peer);
     assert_true(run_until(four_have_version_5));
     assert_true(run_until(is_answered));
     assert_int_equal(answer_code, SAS_EUNAVAILABLE);
@@ -635,7 +635,7 @@
 static bool
 late_answer_was_dropped(void)
 {
-    return SasPeer_GetCounter(owners[0].peer, SAS_PEER_ANSWERS_LATE) > 0;
+    return SasPeer_GetCounter(owners[0].peer, SAS_PEER_REPLIES_LATE) > 0;
 }
 
 /* A loan is granted, but the answer arrives after the borrower's timeout. The
@@ -710,8 +710,8 @@
     size_t size;
     size_t second_size;
     start_with_scripted_member_1();
-    assert_int_equal(SasPeer_AskBorrow(owners[0].peer, 1, &borrow, 0,
-                                       on_grant_pause, NULL, NULL),
+    assert_int_equal(SasPeer_CallBorrow(owners[0].peer, 1, &borrow, 0,
+                                        on_grant_pause, NULL, NULL),
                      0);
     request_loan(0, 1);
     answer_as_member_1(&script);
--- a/tools/bench_gossip.c
+++ b/tools/bench_gossip.c
@@ -201,7 +201,7 @@
     }
     node->tokens += 0.5 * (double)(now_ms - node->tokens_ms) /
                     (double)node->table.times.interval_ms;
-    node->tokens = MIN(node->tokens, SasPeer_RUMOR_BURST);
+    node->tokens = MIN(node->tokens, SasPeer_EXTRA_ROUND_BURST);
     node->tokens_ms = now_ms;
     if (node->tokens >= 1) {
         node->tokens -= 1;
@@ -259,7 +259,7 @@
         break;
     case EVENT_RUMOR:
         node->rumor_waiting = false;
-        exchange_with_some(event->node, SasPeer_RUMOR_FANOUT);
+        exchange_with_some(event->node, SasPeer_EXTRA_ROUND_FANOUT);
         break;
     case EVENT_CALL:
         take_gossip(event);
