--- a/packages/core/include/sas/fleet.h
+++ b/packages/core/include/sas/fleet.h
@@ -48,7 +48,7 @@
     int slots; /* execution slots: requests that it runs at a time */
     bool draining;
     int64_t cold_until_ms; /* 0: warm */
-    int64_t born_at; /* start of its process, wall-clock ms; 0: unknown */
+    int64_t started_at; /* start of its process, wall-clock ms; 0: unknown */
 };
 
 /* What this process has seen of a backend server; see sas/traffic.h. */
@@ -57,11 +57,12 @@
     int reported_running;
     int reported_waiting;
     int in_flight_at_report;
-    int64_t reported_at;      /* 0: never */
-    int64_t unanswered_since; /* no answer since then; 0: nothing sent since */
-    int timeouts;             /* in a row */
-    int slow_runs;            /* in a row */
-    int64_t queued_since;     /* queue reported since then; 0: it is short */
+    int64_t reported_at;     /* 0: never */
+    int64_t no_answer_since; /* no answer since then; 0: nothing sent since */
+    int timeouts;            /* in a row */
+    int slow_runs;           /* in a row */
+    /* queue reported since then; 0: it is short */
+    int64_t queue_standing_since;
     int64_t short_queue_until;  /* only a short queue is allowed until then */
     int failures;               /* of connections, in a row */
     bool ejected;               /* ejected, or half-open after ejected_until */
@@ -156,7 +157,7 @@
     void (*on_config)(struct sas_fleet_listener *listener,
                       const struct sas_fleet_config *config);
     /* The zone is no longer evacuated. */
-    void (*on_reopened)(struct sas_fleet_listener *listener, int zone);
+    void (*on_zone_restored)(struct sas_fleet_listener *listener, int zone);
 };
 
 /* Creation and listeners. */
@@ -178,8 +179,8 @@
                                         int zone);
 
 /* Changes. PutServer returns the slot, -1 for an unknown zone. Another
- * born_at, address, service or zone under the same id makes a new server with
- * a new generation. RemoveServer: false if there is no such server.
+ * started_at, address, service or zone under the same id makes a new server
+ * with a new generation. RemoveServer: false if there is no such server.
  * SetEvacuated: whether that is a change. */
 int SasFleet_PutServer(struct sas_fleet *fleet,
                        const struct sas_server_facts *facts);
@@ -230,6 +231,6 @@
 
 /* Whether the server may get new requests: present, not draining or withdrawn,
  * its zone not evacuated. */
-bool SasFleet_IsOpen(const struct sas_fleet *fleet, int slot);
+bool SasFleet_AcceptsRequests(const struct sas_fleet *fleet, int slot);
 
 #endif
--- a/packages/core/src/fleet.c
+++ b/packages/core/src/fleet.c
@@ -196,7 +196,8 @@
 is_same_start(const struct sas_server_facts *a,
               const struct sas_server_facts *b)
 {
-    return a->born_at == b->born_at && a->address.port == b->address.port &&
+    return a->started_at == b->started_at &&
+           a->address.port == b->address.port &&
            strcmp(a->address.ip, b->address.ip) == 0 &&
            strcmp(a->service, b->service) == 0 &&
            strcmp(a->zone, b->zone) == 0;
@@ -267,8 +268,8 @@
     for (guint i = 0; changed && !evacuated && i < fleet->listeners->len;
          i++) {
         struct sas_fleet_listener *listener = fleet->listeners->pdata[i];
-        if (listener->on_reopened != NULL) {
-            listener->on_reopened(listener, zone);
+        if (listener->on_zone_restored != NULL) {
+            listener->on_zone_restored(listener, zone);
         }
     }
     return changed;
@@ -563,7 +564,7 @@
 }
 
 bool
-SasFleet_IsOpen(const struct sas_fleet *fleet, int slot)
+SasFleet_AcceptsRequests(const struct sas_fleet *fleet, int slot)
 {
     const struct sas_fleet_server *server = SasFleet_At(fleet, slot);
     return server != NULL && !server->facts.draining && !server->withdrawn &&
--- a/packages/core/src/owner.c
+++ b/packages/core/src/owner.c
@@ -41,7 +41,7 @@
 is_allowed(const struct sas_fleet *fleet, const struct sas_owner_query *query,
            int slot, int64_t now_ms)
 {
-    if (!SasFleet_IsOpen(fleet, slot) ||
+    if (!SasFleet_AcceptsRequests(fleet, slot) ||
         SasTraffic_IsEjected(SasFleet_At(fleet, slot), now_ms)) {
         return false;
     }
--- a/packages/core/src/steering.c
+++ b/packages/core/src/steering.c
@@ -106,7 +106,7 @@
         const struct sas_fleet_server *server =
             SasFleet_At(steering->fleet, fleet_slot);
         if (SasFleet_GetServerRegion(steering->fleet, fleet_slot) != region ||
-            !SasFleet_IsOpen(steering->fleet, fleet_slot)) {
+            !SasFleet_AcceptsRequests(steering->fleet, fleet_slot)) {
             continue;
         }
         capacity.slots += server->facts.slots;
--- a/packages/core/src/traffic.c
+++ b/packages/core/src/traffic.c
@@ -22,8 +22,8 @@
 {
     struct sas_server_traffic *traffic = &server->traffic;
     traffic->in_flight++;
-    if (traffic->unanswered_since == 0) {
-        traffic->unanswered_since = now_ms;
+    if (traffic->no_answer_since == 0) {
+        traffic->no_answer_since = now_ms;
     }
 }
 
@@ -34,7 +34,7 @@
     struct sas_server_traffic *traffic = &server->traffic;
     traffic->in_flight--;
     if (answered) {
-        traffic->unanswered_since = traffic->in_flight > 0 ? now_ms : 0;
+        traffic->no_answer_since = traffic->in_flight > 0 ? now_ms : 0;
     }
 }
 
@@ -44,8 +44,8 @@
 {
     const struct sas_server_traffic *traffic =
         &SasFleet_At(fleet, slot)->traffic;
-    return traffic->in_flight > 0 && traffic->unanswered_since > 0 &&
-           now_ms - traffic->unanswered_since >=
+    return traffic->in_flight > 0 && traffic->no_answer_since > 0 &&
+           now_ms - traffic->no_answer_since >=
                in_service_times(fleet, slot, SasTraffic_UNRESPONSIVE);
 }
 
@@ -60,13 +60,13 @@
 {
     struct sas_server_traffic *traffic = &SasFleet_At(fleet, slot)->traffic;
     if (waiting < SasTraffic_QUEUE) {
-        traffic->queued_since = 0;
+        traffic->queue_standing_since = 0;
         return;
     }
-    if (traffic->queued_since == 0) {
-        traffic->queued_since = now_ms;
+    if (traffic->queue_standing_since == 0) {
+        traffic->queue_standing_since = now_ms;
     }
-    if (now_ms - traffic->queued_since >=
+    if (now_ms - traffic->queue_standing_since >=
         in_service_times(fleet, slot, SasTraffic_STANDING)) {
         traffic->short_queue_until =
             now_ms + in_service_times(fleet, slot, SasTraffic_SHORT_QUEUE);
--- a/packages/core/src/zone_share.c
+++ b/packages/core/src/zone_share.c
@@ -19,7 +19,7 @@
     const GArray *slots = SasFleet_GetService(fleet, service)->servers;
     for (guint i = 0; i < slots->len; i++) {
         int slot = g_array_index(slots, int, i);
-        if (!SasFleet_IsOpen(fleet, slot)) {
+        if (!SasFleet_AcceptsRequests(fleet, slot)) {
             continue;
         }
         const struct sas_fleet_server *server = SasFleet_At(fleet, slot);
--- a/packages/core/tests/fleet_support.h
+++ b/packages/core/tests/fleet_support.h
@@ -25,7 +25,7 @@
 static inline struct sas_server_facts
 make_facts(const char *id, const char *service, const char *zone)
 {
-    struct sas_server_facts facts = {.slots = 3, .born_at = 1};
+    struct sas_server_facts facts = {.slots = 3, .started_at = 1};
     snprintf(facts.id, sizeof(facts.id), "%s", id);
     snprintf(facts.service, sizeof(facts.service), "%s", service);
     snprintf(facts.zone, sizeof(facts.zone), "%s", zone);
--- a/packages/core/tests/property_fleet.py
+++ b/packages/core/tests/property_fleet.py
@@ -15,7 +15,7 @@
               INT)
 remove = declare(lib, BOOL, "SasFleet_RemoveServer", PTR, TEXT)
 find = declare(lib, INT, "SasFleet_FindServer", PTR, TEXT)
-is_open = declare(lib, BOOL, "SasFleet_IsOpen", PTR, INT)
+is_open = declare(lib, BOOL, "SasFleet_AcceptsRequests", PTR, INT)
 evacuate = declare(lib, BOOL, "SasFleet_SetEvacuated", PTR, INT, BOOL)
 generation = declare(lib, ctypes.c_uint32, "SasShim_GetGeneration", PTR, INT)
 get_id = declare(lib, TEXT, "SasShim_GetId", PTR, INT, ctypes.c_uint32)
--- a/packages/core/tests/property_shim.c
+++ b/packages/core/tests/property_shim.c
@@ -165,7 +165,7 @@
 {
     struct sas_server_facts facts = {
         .slots = 3,
-        .born_at = born_at,
+        .started_at = born_at,
         .draining = draining != 0,
     };
     g_strlcpy(facts.id, id, sizeof(facts.id));
--- a/packages/core/tests/test_fleet.c
+++ b/packages/core/tests/test_fleet.c
@@ -61,11 +61,11 @@
     struct sas_server_facts facts = make_facts("s1", "forms", "a");
     int slot = SasFleet_PutServer(fleet, &facts);
     struct sas_server_ref ref = SasFleet_GetRef(fleet, slot);
-    assert_true(SasFleet_IsOpen(fleet, slot));
+    assert_true(SasFleet_AcceptsRequests(fleet, slot));
     SasFleet_At(fleet, slot)->traffic.in_flight = 2;
     facts.draining = true;
     assert_int_equal(SasFleet_PutServer(fleet, &facts), slot);
-    assert_false(SasFleet_IsOpen(fleet, slot));
+    assert_false(SasFleet_AcceptsRequests(fleet, slot));
     /* The same process: what was measured of it is kept. */
     assert_int_equal(SasFleet_GetServer(fleet, ref)->traffic.in_flight, 2);
     assert_true(SasFleet_RemoveServer(fleet, "s1"));
@@ -90,7 +90,7 @@
     int slot = SasFleet_PutServer(fleet, &facts);
     struct sas_server_ref before = SasFleet_GetRef(fleet, slot);
     SasFleet_At(fleet, slot)->traffic.in_flight = 5;
-    facts.born_at = 2;
+    facts.started_at = 2;
     slot = SasFleet_PutServer(fleet, &facts);
     assert_null(SasFleet_GetServer(fleet, before));
     assert_int_equal(SasFleet_At(fleet, slot)->traffic.in_flight, 0);
@@ -140,9 +140,9 @@
     int zone = SasFleet_FindZone(fleet, "a");
     assert_true(SasFleet_SetEvacuated(fleet, zone, true));
     assert_false(SasFleet_SetEvacuated(fleet, zone, true));
-    assert_false(SasFleet_IsOpen(fleet, slot));
+    assert_false(SasFleet_AcceptsRequests(fleet, slot));
     SasFleet_SetEvacuated(fleet, zone, false);
-    assert_true(SasFleet_IsOpen(fleet, slot));
+    assert_true(SasFleet_AcceptsRequests(fleet, slot));
     SasFleet_Free(fleet);
 }
 
--- a/packages/core/tests/test_steering.c
+++ b/packages/core/tests/test_steering.c
@@ -26,7 +26,7 @@
     struct sas_server_facts facts = {
         .address = {"127.0.0.1", 9000},
         .slots = 3,
-        .born_at = 1,
+        .started_at = 1,
     };
     g_strlcpy(facts.id, id, sizeof(facts.id));
     g_strlcpy(facts.service, "desk", sizeof(facts.service));
@@ -189,14 +189,14 @@
     struct sas_config *config =
         accept(f, SasSheet_HEADER "\n+0,,,,,,e1,\n+0,,,,,,vm-2,\n");
     int slot = SasFleet_FindServer(f->fleet, "e1");
-    assert_false(SasFleet_IsOpen(f->fleet, slot));
-    assert_true(
-        SasFleet_IsOpen(f->fleet, SasFleet_FindServer(f->fleet, "e2")));
+    assert_false(SasFleet_AcceptsRequests(f->fleet, slot));
+    assert_true(SasFleet_AcceptsRequests(f->fleet,
+                                         SasFleet_FindServer(f->fleet, "e2")));
     assert_false(SasSteering_IsVmLeaving(f->steering, "vm-1"));
     assert_true(SasSteering_IsVmLeaving(f->steering, "vm-2"));
     SasConfig_Unref(config);
     config = accept(f, SasSheet_HEADER "\n+0,desk,east,west,10%,,,\n");
-    assert_true(SasFleet_IsOpen(f->fleet, slot));
+    assert_true(SasFleet_AcceptsRequests(f->fleet, slot));
     assert_false(SasSteering_IsVmLeaving(f->steering, "vm-2"));
     SasConfig_Unref(config);
     stop(f);
--- a/packages/gateway/src/poison_requests.c
+++ b/packages/gateway/src/poison_requests.c
@@ -377,7 +377,7 @@
     const struct sas_server_facts *facts =
         &SasFleet_At(poison->fleet, slot)->facts;
     char born[24];
-    snprintf(born, sizeof(born), "%" G_GINT64_FORMAT, facts->born_at);
+    snprintf(born, sizeof(born), "%" G_GINT64_FORMAT, facts->started_at);
     struct crash_probe *crash_probe = g_new0(struct crash_probe, 1);
     crash_probe->probe.on_probed = on_probed;
     crash_probe->poison = poison;
--- a/packages/gateway/src/relay_peers.c
+++ b/packages/gateway/src/relay_peers.c
@@ -241,7 +241,7 @@
     relay->mesh_listener.on_record = on_record;
     relay->mesh_listener.on_digest_mismatch = on_digest_mismatch;
     relay->mesh_listener.on_failure_report = on_failure_report;
-    relay->fleet_listener.on_reopened = on_reopened;
+    relay->fleet_listener.on_zone_restored = on_reopened;
     SasFleet_AddListener(relay->options.fleet, &relay->fleet_listener);
     SasMesh_SetListener(relay->options.mesh, &relay->mesh_listener);
 }
--- a/packages/gateway/src/view.c
+++ b/packages/gateway/src/view.c
@@ -22,7 +22,7 @@
     if (server->facts.draining) {
         return "draining";
     }
-    if (!SasFleet_IsOpen(fleet, slot)) {
+    if (!SasFleet_AcceptsRequests(fleet, slot)) {
         return "evacuated";
     }
     if (SasTraffic_IsEjected(server, now_ms)) {
--- a/tools/emulate.c
+++ b/tools/emulate.c
@@ -404,7 +404,8 @@
         SasFleet_AddZone(fleet, name, regions[zone / 2]);
     }
     for (int i = 0; i < server_count; i++) {
-        struct sas_server_facts facts = {.slots = options.slots, .born_at = 1};
+        struct sas_server_facts facts = {.slots = options.slots,
+                                         .started_at = 1};
         g_strlcpy(facts.id, servers[i].id, sizeof(facts.id));
         g_strlcpy(facts.service, "desk", sizeof(facts.service));
         g_snprintf(facts.zone, sizeof(facts.zone), "z%d", servers[i].zone);
