--- a/packages/core/include/sas/admission.h
+++ b/packages/core/include/sas/admission.h
@@ -60,7 +60,7 @@
 struct sas_admission_decision {
     int slot;               /* to send to; SasModel_NONE: refuse */
     bool cached;            /* the server has the object cached */
-    double work_ms;         /* expected service time there */
+    double service_ms;      /* expected service time there */
     double wait_ms;         /* expected queue time; if refused, the owner's */
     int64_t retry_after_ms; /* if refused */
 };
--- a/packages/core/include/sas/grey_failure.h
+++ b/packages/core/include/sas/grey_failure.h
@@ -33,9 +33,9 @@
 #define SasGreyFailure_MARK_MS 3000
 
 struct sas_grey_failure {
-    struct sas_window failed;   /* of all entry VMs, at the prober */
-    struct sas_window answered; /* the same */
-    struct sas_window own;      /* answers to this VM, not reported yet */
+    struct sas_window failed;     /* of all entry VMs, at the prober */
+    struct sas_window answered;   /* the same */
+    struct sas_window unreported; /* answers to this VM, not reported yet */
 };
 
 void SasGreyFailure_Init(struct sas_grey_failure *grey);
--- a/packages/core/include/sas/lookup.h
+++ b/packages/core/include/sas/lookup.h
@@ -87,7 +87,7 @@
                          uint32_t ipv4);
 
 /* The home region of the caller's block. */
-int SasLookup_FindHome(const struct sas_lookup *lookup, uint32_t ipv4);
+int SasLookup_FindHomeRegion(const struct sas_lookup *lookup, uint32_t ipv4);
 
 /* Fills in the entry VMs for a caller in a region, best first, at most max of
  * them; views is indexed by VM. VMs that peers report dead, or that are
--- a/packages/core/include/sas/model.h
+++ b/packages/core/include/sas/model.h
@@ -120,7 +120,7 @@
 
 /* True when requests for this path of the service must not be executed
  * twice. */
-bool SasModel_IsOnceRoute(const struct sas_model *model, int service,
-                          const char *path);
+bool SasModel_IsAtMostOnceRoute(const struct sas_model *model, int service,
+                                const char *path);
 
 #endif
--- a/packages/core/include/sas/traffic.h
+++ b/packages/core/include/sas/traffic.h
@@ -23,7 +23,7 @@
  * stood for STANDING service times, only a short one is admitted for BRIEF
  * service times (sas/admission.h). */
 #define SasTraffic_QUEUE 2 /* waiting requests that count as a queue */
-#define SasTraffic_STANDING 2.0
+#define SasTraffic_STANDING_AFTER 2.0
 #define SasTraffic_SHORT_QUEUE 8.0
 
 /* Half-life of the other entry VMs' part of a report, in service times. */
--- a/packages/core/src/admission.c
+++ b/packages/core/src/admission.c
@@ -209,6 +209,6 @@
     decision.slot = best->slot;
     decision.cached = best->cached;
     decision.wait_ms = best->wait_ms;
-    decision.work_ms = best->service_ms;
+    decision.service_ms = best->service_ms;
     return decision;
 }
--- a/packages/core/src/grey_failure.c
+++ b/packages/core/src/grey_failure.c
@@ -5,20 +5,20 @@
 {
     SasWindow_Init(&grey->failed, SasGreyFailure_WINDOW_MS);
     SasWindow_Init(&grey->answered, SasGreyFailure_WINDOW_MS);
-    SasWindow_Init(&grey->own, SasGreyFailure_REPORT_WINDOW_MS);
+    SasWindow_Init(&grey->unreported, SasGreyFailure_REPORT_WINDOW_MS);
 }
 
 void
 SasGreyFailure_NoteAnswered(struct sas_grey_failure *grey, int64_t now_ms)
 {
-    SasWindow_Add(&grey->own, 1, now_ms);
+    SasWindow_Add(&grey->unreported, 1, now_ms);
 }
 
 int
 SasGreyFailure_TakeUnreported(struct sas_grey_failure *grey, int64_t now_ms)
 {
-    int answered = (int)SasWindow_Count(&grey->own, now_ms);
-    SasWindow_Init(&grey->own, SasGreyFailure_REPORT_WINDOW_MS);
+    int answered = (int)SasWindow_Count(&grey->unreported, now_ms);
+    SasWindow_Init(&grey->unreported, SasGreyFailure_REPORT_WINDOW_MS);
     return answered;
 }
 
--- a/packages/core/src/lookup.c
+++ b/packages/core/src/lookup.c
@@ -135,7 +135,7 @@
 }
 
 int
-SasLookup_FindHome(const struct sas_lookup *lookup, uint32_t ipv4)
+SasLookup_FindHomeRegion(const struct sas_lookup *lookup, uint32_t ipv4)
 {
     int32_t block = find_block(lookup, ipv4);
     if (block == SasModel_NONE) {
--- a/packages/core/src/model.c
+++ b/packages/core/src/model.c
@@ -109,8 +109,8 @@
 }
 
 bool
-SasModel_IsOnceRoute(const struct sas_model *model, int service,
-                     const char *path)
+SasModel_IsAtMostOnceRoute(const struct sas_model *model, int service,
+                           const char *path)
 {
     const struct sas_service *row = &model->services[service];
     for (int i = 0; i < row->once_route_count; i++) {
--- a/packages/core/src/traffic.c
+++ b/packages/core/src/traffic.c
@@ -67,7 +67,7 @@
         traffic->queue_standing_since = now_ms;
     }
     if (now_ms - traffic->queue_standing_since >=
-        in_service_times(fleet, slot, SasTraffic_STANDING)) {
+        in_service_times(fleet, slot, SasTraffic_STANDING_AFTER)) {
         traffic->short_queue_until =
             now_ms + in_service_times(fleet, slot, SasTraffic_SHORT_QUEUE);
     }
--- a/packages/core/tests/test_lookup.c
+++ b/packages/core/tests/test_lookup.c
@@ -42,15 +42,15 @@
     (void)state;
     struct sas_lookup lookup;
     SasLookup_Init(&lookup, &fixture);
-    assert_int_equal(SasLookup_FindHome(&lookup, INSIDE), SAGUENAY);
-    assert_int_equal(SasLookup_FindHome(&lookup, NEXT_TO), QUEBEC);
-    assert_int_equal(SasLookup_FindHome(&lookup, 0x0a0101ff), QUEBEC);
-    assert_int_equal(SasLookup_FindHome(&lookup, 0x0a020000), MONTREAL);
-    assert_int_equal(SasLookup_FindHome(&lookup, 0x0affffff), MONTREAL);
-    assert_int_equal(SasLookup_FindHome(&lookup, 0xc0a8ffff), QUEBEC);
-    assert_int_equal(SasLookup_FindHome(&lookup, 0xc0a90000), MONTREAL);
-    assert_int_equal(SasLookup_FindHome(&lookup, 0xffffffff), MONTREAL);
-    assert_int_equal(SasLookup_FindHome(&lookup, 0), MONTREAL);
+    assert_int_equal(SasLookup_FindHomeRegion(&lookup, INSIDE), SAGUENAY);
+    assert_int_equal(SasLookup_FindHomeRegion(&lookup, NEXT_TO), QUEBEC);
+    assert_int_equal(SasLookup_FindHomeRegion(&lookup, 0x0a0101ff), QUEBEC);
+    assert_int_equal(SasLookup_FindHomeRegion(&lookup, 0x0a020000), MONTREAL);
+    assert_int_equal(SasLookup_FindHomeRegion(&lookup, 0x0affffff), MONTREAL);
+    assert_int_equal(SasLookup_FindHomeRegion(&lookup, 0xc0a8ffff), QUEBEC);
+    assert_int_equal(SasLookup_FindHomeRegion(&lookup, 0xc0a90000), MONTREAL);
+    assert_int_equal(SasLookup_FindHomeRegion(&lookup, 0xffffffff), MONTREAL);
+    assert_int_equal(SasLookup_FindHomeRegion(&lookup, 0), MONTREAL);
     assert_int_equal(SasLookup_FindRegion(&lookup, DOSSIERS, INSIDE),
                      SasModel_NONE);
     SasLookup_Close(&lookup);
--- a/packages/core/tests/test_model.c
+++ b/packages/core/tests/test_model.c
@@ -58,8 +58,8 @@
 test_once_routes_match_by_prefix(void **state)
 {
     (void)state;
-    assert_true(SasModel_IsOnceRoute(&model, 0, "/certificates/7"));
-    assert_false(SasModel_IsOnceRoute(&model, 0, "/histories"));
+    assert_true(SasModel_IsAtMostOnceRoute(&model, 0, "/certificates/7"));
+    assert_false(SasModel_IsAtMostOnceRoute(&model, 0, "/histories"));
 }
 
 int
--- a/packages/core/tests/test_traffic.c
+++ b/packages/core/tests/test_traffic.c
@@ -126,7 +126,7 @@
     struct sas_server_traffic *traffic = &SasFleet_At(fleet, 0)->traffic;
     struct sas_traffic_report full = {.running = 3, .waiting = 5};
     struct sas_traffic_report free = {.running = 3, .waiting = 0};
-    int64_t standing = in_service_times(SasTraffic_STANDING);
+    int64_t standing = in_service_times(SasTraffic_STANDING_AFTER);
     SasTraffic_NoteReport(fleet, 0, &full, 1000);
     SasTraffic_NoteReport(fleet, 0, &full, 1000 + standing - 100);
     SasTraffic_NoteReport(fleet, 0, &free, 1000 + standing - 50);
--- a/packages/gateway/src/relay_choose.c
+++ b/packages/gateway/src/relay_choose.c
@@ -383,7 +383,7 @@
     call->wait_ms = decision.wait_ms;
     if (decision.slot != SasModel_NONE) {
         call->cached = decision.cached;
-        call->work_ms = decision.work_ms;
+        call->work_ms = decision.service_ms;
         if (call->keyed && !call->cached) {
             SasCachedObjects_NoteLoading(
                 relay->objects, call->service, call->key,
--- a/packages/node/src/forward.c
+++ b/packages/node/src/forward.c
@@ -93,9 +93,10 @@
     /* Many servers treat the raw and the normalized path alike, so either may
      * match. */
     call->at_most_once =
-        SasModel_IsOnceRoute(options->model, request->service,
-                             request->target) ||
-        SasModel_IsOnceRoute(options->model, request->service, request->route);
+        SasModel_IsAtMostOnceRoute(options->model, request->service,
+                                   request->target) ||
+        SasModel_IsAtMostOnceRoute(options->model, request->service,
+                                   request->route);
     call->idempotent = !call->at_most_once && is_idempotent(request->method);
     call->query.service = request->service;
     call->query.caller_ip = request->caller_ip;
--- a/packages/node/src/router.c
+++ b/packages/node/src/router.c
@@ -111,7 +111,7 @@
     if (!router->has_config) {
         return -1;
     }
-    int home = SasLookup_FindHome(&router->lookup, caller_ip);
+    int home = SasLookup_FindHomeRegion(&router->lookup, caller_ip);
     result->region = SasLookup_FindRegion(&router->lookup, service, caller_ip);
     result->version = router->version;
     int64_t lifetime_ms = SasLookup_ChooseTtl(
--- a/packages/node/src/router_acquire.c
+++ b/packages/node/src/router_acquire.c
@@ -240,7 +240,7 @@
         *reason = SAS_REFUSE_NO_CONFIG;
         return SAS_ROUTER_REFUSED;
     }
-    int home = SasLookup_FindHome(&router->lookup, query->caller_ip);
+    int home = SasLookup_FindHomeRegion(&router->lookup, query->caller_ip);
     int target = SasLookup_FindRegion(&router->lookup, query->service,
                                       query->caller_ip);
     bool any_usable = false;
