--- a/packages/core/include/sas/limits.h
+++ b/packages/core/include/sas/limits.h
@@ -18,9 +18,10 @@
  * server's connections aren't reused for NO_REUSE_MS. */
 #define SasUpstream_CONNECT_TIMEOUT_MS 1000
 #define SasUpstream_PROBE_TIMEOUT_MS 1000
-#define SasUpstream_IDLE_LIMIT_MS 30000 /* then an idle one is closed */
+#define SasUpstream_IDLE_TIMEOUT_MS 30000 /* then an idle one is closed */
 #define SasUpstream_STALL_MS 1000
-#define SasUpstream_SWEEP_MS 100 /* interval of the stall and idle checks */
+/* interval of the stall and idle checks */
+#define SasUpstream_CHECK_INTERVAL_MS 100
 #define SasUpstream_NO_REUSE_MS 600000
 
 /* Steering. */
@@ -34,14 +35,15 @@
  * server pauses, until no more than PENDING_LOW are left. */
 #define SasForward_MAX_DEADLINE_MS 300000
 #define SasForward_MAX_ATTEMPTS 3
-#define SasForward_HOLD_BYTES 65536
-#define SasForward_PENDING_HIGH 262144
-#define SasForward_PENDING_LOW 65536
+#define SasForward_FIRST_BUFFER_BYTES 65536
+#define SasForward_HIGH_WATERMARK_BYTES 262144
+#define SasForward_LOW_WATERMARK_BYTES 65536
 #define SasForward_MAX_WAITING 512 /* queued requests of a service */
 #define SasCaller_MAX_CONNECTIONS 4096
-#define SasCaller_SWEEP_MS 50 /* interval of the check for closed callers */
-#define SasCaller_READ_TIMEOUT_MS 30000   /* without a byte */
-#define SasCaller_ARRIVAL_LIMIT_MS 300000 /* to receive a whole request */
-#define SasCaller_MAX_HEADER_BYTES 32768  /* path and header fields */
+/* interval of the check for closed callers */
+#define SasCaller_CHECK_INTERVAL_MS 50
+#define SasCaller_READ_TIMEOUT_MS 30000     /* without a byte */
+#define SasCaller_REQUEST_TIMEOUT_MS 300000 /* to receive a whole request */
+#define SasCaller_MAX_HEADER_BYTES 32768    /* path and header fields */
 
 #endif
--- a/packages/node/src/caller.c
+++ b/packages/node/src/caller.c
@@ -62,8 +62,8 @@
                             caller);
     uv_timer_init(options->loop, &caller->sweep);
     caller->sweep.data = caller;
-    uv_timer_start(&caller->sweep, on_sweep, SasCaller_SWEEP_MS,
-                   SasCaller_SWEEP_MS);
+    uv_timer_start(&caller->sweep, on_sweep, SasCaller_CHECK_INTERVAL_MS,
+                   SasCaller_CHECK_INTERVAL_MS);
     if (SasH2oServer_Listen(caller->server, address, error) != 0) {
         SasCaller_Close(caller);
         return NULL;
@@ -184,7 +184,8 @@
         (struct exchange *)((char *)generator -
                             offsetof(struct exchange, generator));
     exchange->h2o_busy = false;
-    if (exchange->paused && exchange->pending->len <= SasForward_PENDING_LOW) {
+    if (exchange->paused &&
+        exchange->pending->len <= SasForward_LOW_WATERMARK_BYTES) {
         exchange->paused = false;
         if (exchange->call != NULL) {
             SasForward_Resume(exchange->call);
@@ -272,7 +273,7 @@
     struct exchange *exchange = (struct exchange *)reply;
     g_string_append_len(exchange->pending, data, (gssize)size);
     if (!exchange->paused && exchange->call != NULL &&
-        exchange->pending->len > SasForward_PENDING_HIGH) {
+        exchange->pending->len > SasForward_HIGH_WATERMARK_BYTES) {
         exchange->paused = true;
         SasForward_Pause(exchange->call);
     }
--- a/packages/node/src/forward_attempt.c
+++ b/packages/node/src/forward_attempt.c
@@ -319,7 +319,7 @@
      * retried before the caller has seen a part of it. */
     g_string_append_len(call->buffered, data, (gssize)size);
     size_t limit = call->at_most_once ? SasClaims_MAX_STORED_BYTES
-                                      : SasForward_HOLD_BYTES;
+                                      : SasForward_FIRST_BUFFER_BYTES;
     if (call->buffered->len > limit && call->reply != NULL) {
         call->streaming = true;
         SasForwardCall_PassAnswer(call);
--- a/packages/node/src/h2o_server.c
+++ b/packages/node/src/h2o_server.c
@@ -77,7 +77,7 @@
     server->config.server_name = h2o_iovec_init(H2O_STRLIT("sassafrassill"));
     server->config.max_request_entity_size = limits->body_limit;
     server->config.http1.upgrade_to_http2 = 0;
-    server->config.http1.req_timeout = SasCaller_ARRIVAL_LIMIT_MS;
+    server->config.http1.req_timeout = SasCaller_REQUEST_TIMEOUT_MS;
     server->by_socket = g_hash_table_new(NULL, NULL);
     server->host = h2o_config_register_host(
         &server->config, h2o_iovec_init(H2O_STRLIT("default")), 65535);
@@ -410,7 +410,7 @@
 /* Closes connections without input for SasCaller_READ_TIMEOUT_MS while none of
  * their requests is running. h2o's own limit counts from the start of a
  * request and would end slow but steady uploads; it is set to the longer
- * SasCaller_ARRIVAL_LIMIT_MS. */
+ * SasCaller_REQUEST_TIMEOUT_MS. */
 static void
 close_idle_senders(struct sas_h2o_server *server)
 {
--- a/packages/node/src/upstream.c
+++ b/packages/node/src/upstream.c
@@ -69,8 +69,8 @@
     }
     uv_timer_init(loop, &upstream->sweep);
     upstream->sweep.data = upstream;
-    uv_timer_start(&upstream->sweep, on_sweep, SasUpstream_SWEEP_MS,
-                   SasUpstream_SWEEP_MS);
+    uv_timer_start(&upstream->sweep, on_sweep, SasUpstream_CHECK_INTERVAL_MS,
+                   SasUpstream_CHECK_INTERVAL_MS);
     return upstream;
 }
 
@@ -524,7 +524,7 @@
     }
     struct sas_http_conn *oldest = g_queue_peek_tail(&state->idle);
     if (oldest != NULL &&
-        now - SasHttp_GetLastReadAt(oldest) > SasUpstream_IDLE_LIMIT_MS) {
+        now - SasHttp_GetLastReadAt(oldest) > SasUpstream_IDLE_TIMEOUT_MS) {
         SasHttp_Close(oldest);
     }
 }
