--- a/packages/gateway/src/mesh.c
+++ b/packages/gateway/src/mesh.c
@@ -287,7 +287,7 @@
 }
 
 void
-SasMesh_FindGone(const struct sas_mesh *mesh, bool *down)
+SasMesh_FindDownRegions(const struct sas_mesh *mesh, bool *down)
 {
     int regions = SasFleet_CountRegions(mesh->fleet);
     bool partitioned =
--- a/packages/gateway/src/mesh.h
+++ b/packages/gateway/src/mesh.h
@@ -136,7 +136,7 @@
 
 /* Fills in down, by region: true if it had entry VMs and none is live. All
  * false while this entry VM is partitioned. */
-void SasMesh_FindGone(const struct sas_mesh *mesh, bool *down);
+void SasMesh_FindDownRegions(const struct sas_mesh *mesh, bool *down);
 
 /* Number of live members, this one included. */
 int SasMesh_Count(const struct sas_mesh *mesh);
--- a/packages/node/src/sheet_task.c
+++ b/packages/node/src/sheet_task.c
@@ -90,7 +90,7 @@
     const struct sas_sheet_task_options *options = &task->options;
     struct sas_mesh *mesh = SasGateway_GetMesh(options->gateway);
     bool down[SasModel_MAX_REGIONS];
-    SasMesh_FindGone(mesh, down);
+    SasMesh_FindDownRegions(mesh, down);
     if (SasSteering_Advance(options->steering, SasWall_GetMs(), get_now(task),
                             down)) {
         const struct sas_plan *plan = SasSteering_GetPlan(options->steering);
