--- a/packages/core/include/sas/budget.h
+++ b/packages/core/include/sas/budget.h
@@ -21,7 +21,7 @@
  *   Borrowed(id)      <--granted--
  *   seq = Renew(id)   --renew seq-->  ok = Extend(id)
  *   Renewed(id, seq)  <--ok--
- *   left = Return(id) --left-->       TakeBack(id, left)
+ *   left = Return(id) --left-->       AcceptReturn(id, left)
  *
  * after the lender's restart:
  *   ok = Disown()     <--incarnation--
@@ -50,8 +50,8 @@
 #define SasBudget_MAX_BACKOFF_MS 5000
 
 enum sas_budget_kind {
-    SAS_BUDGET_CONCURRENT, /* Take and Give */
-    SAS_BUDGET_RATE        /* TakeRate */
+    SAS_BUDGET_CONCURRENT, /* Acquire and Release */
+    SAS_BUDGET_RATE        /* AcquireRate */
 };
 
 struct sas_loan {
--- a/packages/core/include/sas/fleet.h
+++ b/packages/core/include/sas/fleet.h
@@ -68,7 +68,7 @@
     bool ejected;               /* ejected, or half-open after ejected_until */
     bool refused_connections;   /* ejected as it refused connections */
     int64_t grey_until;         /* grey failure: fails part of its requests */
-    int64_t ejected_until;      /* end of the ejection, while tripped */
+    int64_t ejected_until;      /* end of the ejection, while ejected */
     int64_t ejection_ms;        /* length of the last ejection */
     int64_t peer_ejected_until; /* ejected on another entry VM's report */
     int64_t healthy_at;         /* last answer within the usual time */
--- a/packages/core/include/sas/limits.h
+++ b/packages/core/include/sas/limits.h
@@ -29,10 +29,10 @@
 #define SasRouter_DEFAULT_PLACEMENT "owned-first" /* see sas/placement.h */
 #define SasRouter_FIRST_ANSWER_BYTES 16384 /* estimate before any answer */
 
-/* Requests. HOLD_BYTES of an answer are buffered before any byte goes to the
- * caller, so that an answer that breaks off early can be retried. Above
- * PENDING_HIGH bytes that the caller hasn't read, reading from the backend
- * server pauses, until no more than PENDING_LOW are left. */
+/* Requests. FIRST_BUFFER_BYTES of an answer are buffered before any byte goes
+ * to the caller, so that an answer that breaks off early can be retried. Above
+ * HIGH_WATERMARK_BYTES bytes that the caller hasn't read, reading from the
+ * backend server pauses, until no more than LOW_WATERMARK_BYTES are left. */
 #define SasForward_MAX_DEADLINE_MS 300000
 #define SasForward_MAX_ATTEMPTS 3
 #define SasForward_FIRST_BUFFER_BYTES 65536
--- a/packages/core/include/sas/membership.h
+++ b/packages/core/include/sas/membership.h
@@ -56,7 +56,7 @@
     uint64_t incarnation;
     uint64_t config_version;
     uint32_t heartbeat;
-    uint32_t suspicion; /* suspicion; 0: none */
+    uint32_t suspicion; /* 0: none */
     int64_t age_ms;     /* of the heartbeat */
 };
 
@@ -67,7 +67,7 @@
     int64_t received_ms; /* last message from the member itself to this node */
     int64_t suspicion_ms; /* when the suspicion became known here */
     uint32_t heartbeat;
-    uint32_t suspicion; /* suspicion; 0: none */
+    uint32_t suspicion; /* 0: none */
     bool leaving;
     /* messages in which a change is still to be sent */
     uint8_t retransmits_left;
--- a/packages/core/include/sas/ping.h
+++ b/packages/core/include/sas/ping.h
@@ -40,8 +40,9 @@
 void SasPing_Remove(struct sas_pings *pings, int member_id);
 
 /* Gives the next ping without an answer for SasPing_TIMEOUT_MS; false if
- * there is none. Call it until it returns false. silent: no send was answered,
- * the ping has timed out and is removed. Otherwise send it once more. */
+ * there is none. Call it until it returns false. timed_out: no send was
+ * answered, the ping has timed out and is removed. Otherwise send it once
+ * more. */
 struct sas_ping_due {
     int member_id;
     bool timed_out;
--- a/packages/core/include/sas/poll_timeouts.h
+++ b/packages/core/include/sas/poll_timeouts.h
@@ -7,8 +7,8 @@
  * poll that waits for changes and one that will never be answered look alike
  * until the timeout, so the timeouts are part of the bound:
  *
- *   the store is unresponsive    pause + question + silence + hop
- *   the leader is unresponsive   vm_question + vm_silence + hop
+ *   the store is unresponsive    poll_pause + poll + response + failover
+ *   the leader is unresponsive   vm_poll + vm_response + failover
  *
  * Each sum is at most the bound, for any bound from
  * SasPollTimeouts_MIN_BOUND_MS on. The first sum has to hold without help from
--- a/packages/core/include/sas/traffic.h
+++ b/packages/core/include/sas/traffic.h
@@ -20,8 +20,8 @@
 
 /* A queue absorbs a burst. A standing queue only delays requests: the
  * execution slots do no more work than with a short one. So when a queue has
- * stood for STANDING service times, only a short one is admitted for BRIEF
- * service times (sas/admission.h). */
+ * stood for STANDING_AFTER service times, only a short one is admitted for
+ * SHORT_QUEUE service times (sas/admission.h). */
 #define SasTraffic_QUEUE 2 /* waiting requests that count as a queue */
 #define SasTraffic_STANDING_AFTER 2.0
 #define SasTraffic_SHORT_QUEUE 8.0
@@ -49,8 +49,8 @@
 #define SasTraffic_MAX_EJECTION_MS 6000
 
 /* A server is slow after SLOW_RUNS consecutive slow runs. A run is slow beyond
- * SLOW_KNOWN service times for a cached object, beyond TRIAL for an uncached
- * one, and when it times out. */
+ * SLOW_CACHED service times for a cached object, beyond MAX_PROBE for an
+ * uncached one, and when it times out. */
 #define SasTraffic_SLOW_RUNS 2
 #define SasTraffic_SLOW_CACHED 1.0
 
@@ -63,10 +63,10 @@
 #define SasTraffic_HEALTHY_FOR 1.6
 
 /* How long the other entry VMs wait after an ejection time for the prober's
- * report: VERDICT_MS until the prober has a request for one of the server's
- * objects, and VERDICT service times for the probe request behind the
- * server's queue. If they didn't wait, a server that is about to be ejected
- * again would get requests from each of them. */
+ * report: PROBE_RESULT_MS until the prober has a request for one of the
+ * server's objects, and PROBE_RESULT service times for the probe request
+ * behind the server's queue. If they didn't wait, a server that is about to be
+ * ejected again would get requests from each of them. */
 #define SasTraffic_PROBE_RESULT_MS 1000
 #define SasTraffic_PROBE_RESULT 4.8
 
