--- a/packages/core/include/sas/budget.h
+++ b/packages/core/include/sas/budget.h
@@ -152,11 +152,11 @@
 /* Units in use now. */
 int64_t SasBudget_GetUsed(const struct sas_budget *b);
 
-/* Acquires units for a request that ends within lasts_ms at the latest.
+/* Acquires units for a request that ends within max_run_ms at the latest.
  * Returns the source to release them to, or -1. Only requests that end before
  * a loan does use it, so that none is running when the lender uses the units
  * again; a request too long for every loan needs own units. */
-int SasBudget_Acquire(struct sas_budget *b, int64_t units, int64_t lasts_ms,
+int SasBudget_Acquire(struct sas_budget *b, int64_t units, int64_t max_run_ms,
                       int64_t now_ms);
 void SasBudget_Release(struct sas_budget *b, int source, int64_t units,
                        int64_t now_ms);
--- a/packages/core/include/sas/quarantine.h
+++ b/packages/core/include/sas/quarantine.h
@@ -123,11 +123,11 @@
 void SasQuarantine_Trust(struct sas_quarantine *q,
                          struct sas_fingerprint fingerprint, int64_t now_ms);
 
-/* Before an isolated run that ends within lasts_ms. False if one is pending or
- * the request is quarantined. */
+/* Before an isolated run that ends within max_run_ms. False if one is pending
+ * or the request is quarantined. */
 bool SasQuarantine_BeginIsolatedRun(struct sas_quarantine *q,
                                     struct sas_fingerprint fingerprint,
-                                    int64_t lasts_ms, int64_t now_ms);
+                                    int64_t max_run_ms, int64_t now_ms);
 
 /* Exchange with other nodes: Export returns all entries, Merge applies one.
  *
--- a/packages/core/include/sas/vm_capacity.h
+++ b/packages/core/include/sas/vm_capacity.h
@@ -19,11 +19,11 @@
 
 /* A zone or region of whose capacity less than this part is left can't serve
  * its callers: lookups return entry VMs farther away. */
-#define SasVmCapacity_MIN_LEFT 0.25
+#define SasVmCapacity_MIN_REMAINING 0.25
 
 /* Fewest entry VMs that a lookup returns: with one, its failure would leave
  * callers without an address. */
-#define SasStrength_MIN_RETURNED 2
+#define SasVmCapacity_MIN_RETURNED 2
 
 /* Capacity, in requests per second, of a share of a core and a link. */
 double SasVmCapacity_Estimate(double cores, double link_mbps);
--- a/packages/core/src/budget.c
+++ b/packages/core/src/budget.c
@@ -173,7 +173,7 @@
 }
 
 int
-SasBudget_Acquire(struct sas_budget *b, int64_t units, int64_t lasts_ms,
+SasBudget_Acquire(struct sas_budget *b, int64_t units, int64_t max_run_ms,
                   int64_t now_ms)
 {
     advance(b, now_ms);
@@ -184,7 +184,7 @@
          * a request on them is still running. A request that outlasted the
          * loan would exceed the limit. */
         if (loan->id != 0 && !loan->closing &&
-            lasts_ms <= loan->until_ms - now_ms &&
+            max_run_ms <= loan->until_ms - now_ms &&
             loan->used + units <= loan->granted) {
             source = i + 1;
         }
--- a/packages/core/src/quarantine.c
+++ b/packages/core/src/quarantine.c
@@ -151,7 +151,7 @@
 bool
 SasQuarantine_BeginIsolatedRun(struct sas_quarantine *q,
                                struct sas_fingerprint fingerprint,
-                               int64_t lasts_ms, int64_t now_ms)
+                               int64_t max_run_ms, int64_t now_ms)
 {
     struct sas_quarantine_entry *entry = find_entry(q, fingerprint, now_ms);
     if (entry == NULL) {
@@ -162,7 +162,7 @@
     if (entry->isolated_ms > now_ms || is_quarantined(entry)) {
         return false;
     }
-    entry->isolated_ms = now_ms + lasts_ms;
+    entry->isolated_ms = now_ms + max_run_ms;
     entry->left_ms = MAX(entry->left_ms, now_ms + SasQuarantine_SUSPECT_MS);
     return true;
 }
--- a/packages/core/src/vm_capacity.c
+++ b/packages/core/src/vm_capacity.c
@@ -42,7 +42,7 @@
         const struct entry *entry = &entries[taken];
         bool large =
             entry->capacity >= SasVmCapacity_SHARE * entries[0].capacity;
-        if (!large && taken >= SasStrength_MIN_RETURNED) {
+        if (!large && taken >= SasVmCapacity_MIN_RETURNED) {
             break;
         }
         picked[taken++] = entry->index;
--- a/packages/core/tests/budget_shim.c
+++ b/packages/core/tests/budget_shim.c
@@ -34,7 +34,7 @@
 int SasShim_Check(struct sas_quarantine *q, uint64_t fingerprint,
                   int64_t now_ms);
 bool SasShim_BeginIsolatedRun(struct sas_quarantine *q, uint64_t fingerprint,
-                              int64_t lasts_ms, int64_t now_ms);
+                              int64_t max_run_ms, int64_t now_ms);
 void SasShim_MergeAll(struct sas_quarantine *to, struct sas_quarantine *from,
                       int64_t now_ms);
 char *SasShim_PrintQuarantine(struct sas_quarantine *q, int64_t now_ms);
@@ -208,10 +208,10 @@
 
 bool
 SasShim_BeginIsolatedRun(struct sas_quarantine *q, uint64_t fingerprint,
-                         int64_t lasts_ms, int64_t now_ms)
+                         int64_t max_run_ms, int64_t now_ms)
 {
     struct sas_fingerprint full = {0, fingerprint};
-    return SasQuarantine_BeginIsolatedRun(q, full, lasts_ms, now_ms);
+    return SasQuarantine_BeginIsolatedRun(q, full, max_run_ms, now_ms);
 }
 
 void
--- a/packages/gateway/src/mesh_lookup.c
+++ b/packages/gateway/src/mesh_lookup.c
@@ -113,7 +113,7 @@
     enum scope best = ZONE;
     for (enum scope scope = ZONE; scope < SCOPES; scope++) {
         remaining[scope] = get_remaining_share(mesh, &places[scope]);
-        if (remaining[scope] >= SasVmCapacity_MIN_LEFT) {
+        if (remaining[scope] >= SasVmCapacity_MIN_REMAINING) {
             return scope;
         }
         if (remaining[scope] > remaining[best]) {
