--- a/packages/core/include/sas/membership.h
+++ b/packages/core/include/sas/membership.h
@@ -87,8 +87,8 @@
 struct sas_membership {
     struct sas_member *members; /* by member id */
     int count;
-    int own;           /* member id of this node */
-    int64_t direct_ms; /* last message from any member itself */
+    int own;             /* member id of this node */
+    int64_t received_ms; /* last message from any member itself */
     uint64_t highest_version;
     /* incarnation of a newer process of this member */
     uint64_t newer_incarnation;
--- a/packages/core/src/membership.c
+++ b/packages/core/src/membership.c
@@ -59,7 +59,7 @@
     table->members = g_new0(struct sas_member, member_count);
     table->count = member_count;
     table->own = own;
-    table->direct_ms = now_ms;
+    table->received_ms = now_ms;
     SasMembership_GetTimes(member_count, 0, &table->times);
     struct sas_member *self = &table->members[own];
     self->incarnation = incarnation;
@@ -205,7 +205,7 @@
     if (!is_member(table, member_id) || member_id == table->own) {
         return;
     }
-    table->direct_ms = now_ms;
+    table->received_ms = now_ms;
     struct sas_member *member = &table->members[member_id];
     if (member->incarnation == incarnation) {
         member->received_ms = now_ms;
@@ -304,7 +304,7 @@
 SasMembership_IsPartitioned(const struct sas_membership *table, int64_t now_ms)
 {
     return table->count > 1 &&
-           now_ms - table->direct_ms >= table->times.partition_ms;
+           now_ms - table->received_ms >= table->times.partition_ms;
 }
 
 const char *
--- a/packages/core/tests/property_membership.py
+++ b/packages/core/tests/property_membership.py
@@ -16,40 +16,40 @@
 
 
 class Update(ctypes.Structure):
-    _fields_ = [("seat", c_int), ("leaving", c_bool),
+    _fields_ = [("member_id", c_int), ("leaving", c_bool),
                 ("incarnation", c_uint64), ("config_version", c_uint64),
-                ("heartbeat", c_uint32), ("doubt", c_uint32),
+                ("heartbeat", c_uint32), ("suspicion", c_uint32),
                 ("age_ms", c_int64)]
 
 
 class Member(ctypes.Structure):
     _fields_ = [("incarnation", c_uint64), ("config_version", c_uint64),
-                ("heartbeat_ms", c_int64), ("direct_ms", c_int64),
-                ("doubt_ms", c_int64), ("heartbeat", c_uint32),
-                ("doubt", c_uint32), ("leaving", c_bool),
-                ("sends_left", c_uint8), ("timeouts", c_uint8)]
+                ("heartbeat_ms", c_int64), ("received_ms", c_int64),
+                ("suspicion_ms", c_int64), ("heartbeat", c_uint32),
+                ("suspicion", c_uint32), ("leaving", c_bool),
+                ("retransmits_left", c_uint8), ("timeouts", c_uint8)]
 
 
 class Times(ctypes.Structure):
     _fields_ = [("interval_ms", c_int64), ("fanout", c_int),
-                ("suspect_ms", c_int64), ("gone_ms", c_int64),
+                ("suspect_ms", c_int64), ("dead_ms", c_int64),
                 ("refute_ms", c_int64), ("partition_ms", c_int64)]
 
 
 class Membership(ctypes.Structure):
     _fields_ = [("members", ctypes.POINTER(Member)), ("count", c_int),
-                ("own", c_int), ("direct_ms", c_int64),
-                ("highest_version", c_uint64), ("replaced_by", c_uint64),
+                ("own", c_int), ("received_ms", c_int64),
+                ("highest_version", c_uint64), ("newer_incarnation", c_uint64),
                 ("times", Times)]
 
 
-class Departure(ctypes.Structure):
+class LeavingServer(ctypes.Structure):
     _fields_ = [("incarnation", c_uint64), ("measured_ms", c_int64),
                 ("sources", c_uint)]
 
 
-class Departures(ctypes.Structure):
-    _fields_ = [("backends", ctypes.POINTER(Departure)), ("count", c_int)]
+class LeavingServers(ctypes.Structure):
+    _fields_ = [("backends", ctypes.POINTER(LeavingServer)), ("count", c_int)]
 
 
 def run_again_with_sanitizer():
@@ -70,7 +70,7 @@
 lib.SasMembership_Merge.argtypes = [
     ctypes.POINTER(Membership), ctypes.POINTER(Update), c_int64]
 lib.SasLeavingServer_NoteReport.argtypes = [
-    ctypes.POINTER(Departures), c_int, c_uint64, c_bool, c_int64]
+    ctypes.POINTER(LeavingServers), c_int, c_uint64, c_bool, c_int64]
 lib.SasLeavingServer_NoteReport.restype = c_bool
 
 update_rows = st.tuples(
@@ -94,14 +94,14 @@
     def get_row(self, member_id):
         member = self.table.members[member_id]
         return (member.incarnation, member.heartbeat, member.heartbeat_ms,
-                member.leaving, member.config_version, member.doubt)
+                member.leaving, member.config_version, member.suspicion)
 
     def get_rows(self):
         """The other members' rows; the own heartbeat depends on the order, as
         it refutes each suspicion."""
         rows = [self.get_row(member_id) for member_id in range(MEMBERS)
                 if member_id != OWN]
-        return rows, self.table.replaced_by
+        return rows, self.table.newer_incarnation
 
     def close(self):
         lib.SasMembership_Close(byref(self.table))
@@ -181,7 +181,7 @@
                for place, leaving in enumerate(reported)]
     order = data.draw(st.permutations(reports))
     order += data.draw(st.lists(st.sampled_from(reports), max_size=5))
-    table = Departures()
+    table = LeavingServers()
     lib.SasLeavingServer_Init(byref(table), 1)
     for incarnation, leaving, measured in order:
         lib.SasLeavingServer_NoteReport(byref(table), 0, incarnation, leaving,
