--- a/packages/core/tests/test_traffic.c
+++ b/packages/core/tests/test_traffic.c
@@ -73,16 +73,18 @@
     (void)state;
     struct sas_fleet *fleet = start();
     struct sas_fleet_server *server = SasFleet_At(fleet, 0);
-    int64_t silence = in_service_times(SasTraffic_UNRESPONSIVE);
+    int64_t unresponsive_ms = in_service_times(SasTraffic_UNRESPONSIVE);
     assert_false(SasTraffic_IsUnresponsive(fleet, 0, 5000));
     SasTraffic_NoteSent(server, 1000);
-    SasTraffic_NoteSent(server, 1000 + silence - 1);
-    assert_false(SasTraffic_IsUnresponsive(fleet, 0, 1000 + silence - 1));
-    assert_true(SasTraffic_IsUnresponsive(fleet, 0, 1000 + silence));
+    SasTraffic_NoteSent(server, 1000 + unresponsive_ms - 1);
+    assert_false(
+        SasTraffic_IsUnresponsive(fleet, 0, 1000 + unresponsive_ms - 1));
+    assert_true(SasTraffic_IsUnresponsive(fleet, 0, 1000 + unresponsive_ms));
     /* An answer resets the time for the requests still in flight. */
     SasTraffic_NoteEnded(server, true, 2000);
-    assert_false(SasTraffic_IsUnresponsive(fleet, 0, 2000 + silence - 1));
-    assert_true(SasTraffic_IsUnresponsive(fleet, 0, 2000 + silence));
+    assert_false(
+        SasTraffic_IsUnresponsive(fleet, 0, 2000 + unresponsive_ms - 1));
+    assert_true(SasTraffic_IsUnresponsive(fleet, 0, 2000 + unresponsive_ms));
     /* A canceled request doesn't: then one request at a time is sent. */
     SasTraffic_NoteEnded(server, false, 3000);
     assert_false(SasTraffic_IsUnresponsive(fleet, 0, 3000));
--- a/packages/gateway/tests/test_gossip.c
+++ b/packages/gateway/tests/test_gossip.c
@@ -228,17 +228,17 @@
     (void)state;
     struct fixture *f = start();
     int leaders = 0;
-    int testers = 0;
+    int probers = 0;
     for (int i = 0; i < VMS; i++) {
         struct sas_address peer;
         leaders += SasMesh_FindLeader(f->meshes[i], &peer) ? 0 : 1;
         bool east = SasMesh_IsOwnRegion(f->meshes[i], get_region(f, "east"));
-        bool tester =
+        bool prober =
             SasMesh_IsProber(f->meshes[i], SERVER_HASH, get_region(f, "east"));
-        testers += east && tester ? 1 : 0;
+        probers += east && prober ? 1 : 0;
     }
     assert_int_equal(leaders, 3); /* of three zones */
-    assert_int_equal(testers, 1);
+    assert_int_equal(probers, 1);
     stop(f);
 }
 
@@ -342,10 +342,10 @@
     (void)state;
     struct fixture *f = start();
     int region = get_region(f, "east");
-    int tester = 0;
+    int prober = 0;
     for (int i = 0; i < VMS - 1; i++) {
         if (SasMesh_IsProber(f->meshes[i], SERVER_HASH, region)) {
-            tester = i;
+            prober = i;
         }
     }
     struct sas_mesh_ejection update = {
@@ -354,16 +354,16 @@
     };
     struct sas_mesh_failure_report report = {SERVER_HASH, 1, 7};
     SasMesh_ReportFailures(f->meshes[VMS - 1], &report, region);
-    SPIN_UNTIL(f, f->nodes[tester].answered == 7);
-    assert_int_equal(f->nodes[tester].failed, 1);
+    SPIN_UNTIL(f, f->nodes[prober].answered == 7);
+    assert_int_equal(f->nodes[prober].failed, 1);
     SasMesh_ReportEjection(f->meshes[VMS - 1], &update, region);
-    SPIN_UNTIL(f, f->nodes[tester].ejections == 1);
+    SPIN_UNTIL(f, f->nodes[prober].ejections == 1);
     int others = 0;
     for (int i = 0; i < VMS; i++) {
-        others += i != tester ? f->nodes[i].ejections : 0;
+        others += i != prober ? f->nodes[i].ejections : 0;
     }
     assert_int_equal(others, 0);
-    SasMesh_ReportEjection(f->meshes[tester], &update, region);
+    SasMesh_ReportEjection(f->meshes[prober], &update, region);
     for (int i = 0; i < VMS; i++) {
         SPIN_UNTIL(f, f->nodes[i].ejections == 1);
         assert_int_equal(f->nodes[i].last_ejection.left_ms, 1500);
@@ -384,24 +384,25 @@
         .crash = 5,
         .isolated = true,
     };
-    int keeper = 0;
+    int coordinator = 0;
     int keepers = 0;
     for (int i = 0; i < VMS; i++) {
         if (SasMesh_IsFirst(f->meshes[i], row.fingerprint.low)) {
-            keeper = i;
+            coordinator = i;
             keepers++;
         }
     }
     assert_int_equal(keepers, 1);
-    SasMesh_ReportPoison(f->meshes[(keeper + 1) % VMS], &row, 1, false);
-    SPIN_UNTIL(f, f->nodes[keeper].poison_updates == 1);
-    assert_int_equal(f->nodes[keeper].last_poison_update.fingerprint.high, 3);
-    assert_int_equal(f->nodes[keeper].last_poison_update.crash, 5);
-    assert_true(f->nodes[keeper].last_poison_update.isolated);
+    SasMesh_ReportPoison(f->meshes[(coordinator + 1) % VMS], &row, 1, false);
+    SPIN_UNTIL(f, f->nodes[coordinator].poison_updates == 1);
+    assert_int_equal(f->nodes[coordinator].last_poison_update.fingerprint.high,
+                     3);
+    assert_int_equal(f->nodes[coordinator].last_poison_update.crash, 5);
+    assert_true(f->nodes[coordinator].last_poison_update.isolated);
     for (int i = 0; i < VMS; i++) {
-        assert_int_equal(f->nodes[i].poison_updates, i == keeper ? 1 : 0);
+        assert_int_equal(f->nodes[i].poison_updates, i == coordinator ? 1 : 0);
     }
-    SasMesh_ReportPoison(f->meshes[keeper], &row, 1, true);
+    SasMesh_ReportPoison(f->meshes[coordinator], &row, 1, true);
     for (int i = 0; i < VMS; i++) {
         SPIN_UNTIL(f, f->nodes[i].poison_updates == 1);
     }
