--- a/packages/core/src/owner.c
+++ b/packages/core/src/owner.c
@@ -117,7 +117,7 @@
     if (unit < home_share) {
         return home;
     }
-    /* Here unit is uniform in [keep, 1). */
+    /* Here unit is uniform in [home_share, 1). */
     int region = pick_spare_region(slots, count, share,
                                    (unit - home_share) / (1 - home_share));
     return region == SasModel_NONE ? home : region;
