--- a/tests/standins/backend.c
+++ b/tests/standins/backend.c
@@ -1,47 +1,47 @@
-/* sas_backend_standin - hosts many stand-ins of backend servers.
+/* sas_backend_standin - runs many stand-in backend servers in one process.
  *
  * Prints "PORT name port" for each server and "CONTROL port" on standard
  * output, then serves until SIGTERM or SIGINT.
  *
- * A request's query (or header) says what it does:
- *   ms=N (Sas-Test-Ms: N)  service time; drawn at random otherwise
- *   bytes=N                size of the answer: the target, repeated
- *   status=N, chunked=1    shape of a whole answer
- *   fault=crash            ends its service time with a crash of the server,
- *                          which is back after restart_ms=N (500)
+ * A request's query (or header) selects its behaviour:
+ *   ms=N (Sas-Test-Ms: N)  service time; without it drawn at random
+ *   bytes=N                size of the answer's body: the target, repeated
+ *   status=N, chunked=1    status and framing of a complete answer
+ *   fault=crash            the server crashes at the end of the service time
+ *                          and restarts after restart_ms=N (500)
  *   fault=cut-chunked      chunked answer, closed before its last chunk
- *   fault=short            closed after half of the stated length
- *   fault=close-framed     answer that is framed by the close alone
- *   fault=late             whole answer, and bytes of another one 20 ms later
+ *   fault=short            closed after half of the Content-Length
+ *   fault=close-framed     answer without a length, ended by the close
+ *   fault=late             complete answer, then an unsolicited second one
+ *                          20 ms later
  *   fault=reset-mid        runs, then resets the connection; with when=part
- *                          resets once the head is read, and does not run
- *   fault=silent           the request and all later ones on its connection
- *                          are neither read nor answered; new ones work
- *   fault=hang             runs until its caller goes away
+ *                          resets once the headers are read, without running
+ *   fault=silent           does not run; its connection stays open, drops
+ *                          all later bytes and sends none
+ *   fault=hang             runs until its caller disconnects
  * An answer without bytes= is JSON: server, method, target, body_bytes and
  * body_hash (XXH64 of the request's body).
  *
- * A server with delay_ms=D takes a request D after it was read (3 D when it
- * is the first of its connection) and delivers its answer D after it was
- * made. A caller's going away is noticed at once.
+ * delay_ms=D simulates the network: a server gets a request D after it was
+ * read (3 D on a new connection, which costs a round trip) and the answer is
+ * sent D after it was made. A disconnect is noticed without delay.
  *
- * The control listener:
+ * The control port:
  *   GET /counts[?key=KEY]  per server, and per Idempotency-Key or else
  *                          Sas-Request-Id: started, finished, cancelled
- *                          (started but given up), crashed, dropped (never
- *                          started), shed; and peak, the most requests that
- *                          ran and waited on all servers of the process at
- *                          the same time. Holds the last 200000 keys;
- *                          keys_lost counts those that fell out.
+ *                          (after the start), crashed, dropped (before the
+ *                          start), shed; and peak, the maximum of requests
+ *                          running and queued on all servers of the process.
+ *                          Holds the last 200000 keys; keys_lost counts the
+ *                          evicted ones.
  *   PUT /servers/PATTERN   JSON with the settings to change on the servers
  *                          whose name matches (glob): slots, queue,
  *                          connections, delay_ms, probe_ms, slow, cold_s
- *                          (a cold start now), cold_factor, report
+ *                          (begins a cold start), cold_factor, report
  *                          ("honest", "zero", "random"), report_late_ms,
- *                          leaving, refuse, echo (of Sas-Request-Id; on at
- *                          first), and the events "silent": true
- *                          (all open connections go silent) and
- *                          "crash": RESTART_MS.
+ *                          leaving, refuse, echo (of Sas-Request-Id; true by
+ *                          default), and the events "silent": true (stalls
+ *                          all open connections) and "crash": RESTART_MS.
  */
 #include "backend.h"
 
@@ -54,14 +54,14 @@
     char *name;
     int mean_ms;
     double sigma;
-    char *shape;
+    char *distribution;
     double rtt_ms;
     int seed;
     struct settings settings;
 };
 
 static bool parse_options(struct options *options, int argc, char **argv);
-static enum service_shape get_shape(const char *name);
+static enum service_distribution get_distribution(const char *name);
 static void open_servers(struct app *app, const struct options *options);
 static void on_signal(uv_signal_t *handle, int number);
 
@@ -88,13 +88,13 @@
     app.loop.data = &app;
     app.random = g_rand_new_with_seed((guint32)options.seed);
     app.started_at = g_get_real_time();
-    app.shape = get_shape(options.shape);
+    app.distribution = get_distribution(options.distribution);
     app.mean_ms = options.mean_ms;
     app.sigma = options.sigma;
     app.servers = g_ptr_array_new();
-    app.journal =
+    app.key_counts =
         g_hash_table_new_full(g_str_hash, g_str_equal, g_free, g_free);
-    g_queue_init(&app.journal_keys);
+    g_queue_init(&app.key_order);
     open_servers(&app, &options);
     uv_signal_t signals[2];
     const int numbers[2] = {SIGTERM, SIGINT};
@@ -105,7 +105,7 @@
     signal(SIGPIPE, SIG_IGN);
     uv_run(&app.loop, UV_RUN_DEFAULT);
     fflush(stdout);
-    _Exit(0); /* connections and timers are given back by the kernel */
+    _Exit(0); /* the kernel closes the connections */
 }
 
 static bool
@@ -114,30 +114,34 @@
     struct settings *settings = &options->settings;
     int port = 0;
     const GOptionEntry entries[] = {
-        {"servers", 0, 0, G_OPTION_ARG_INT, &options->servers, "count", "N"},
+        {"servers", 0, 0, G_OPTION_ARG_INT, &options->servers,
+         "number of servers", "N"},
         {"name", 0, 0, G_OPTION_ARG_STRING, &options->name,
-         "prefix of their names: PREFIX-01, PREFIX-02, ...", "PREFIX"},
+         "server names: PREFIX-01, PREFIX-02, ...", "PREFIX"},
         {"port", 0, 0, G_OPTION_ARG_INT, &port,
-         "only 0: the kernel picks all ports", "0"},
-        {"slots", 0, 0, G_OPTION_ARG_INT, &settings->slots, "", "N"},
-        {"connections", 0, 0, G_OPTION_ARG_INT, &settings->connections, "",
-         "N"},
-        {"queue", 0, 0, G_OPTION_ARG_INT, &settings->queue, "", "N"},
+         "ignored: the kernel chooses all ports", "0"},
+        {"slots", 0, 0, G_OPTION_ARG_INT, &settings->slots,
+         "execution slots per server", "N"},
+        {"connections", 0, 0, G_OPTION_ARG_INT, &settings->connections,
+         "connection limit per server", "N"},
+        {"queue", 0, 0, G_OPTION_ARG_INT, &settings->queue,
+         "queue length per server", "N"},
         {"mean-ms", 0, 0, G_OPTION_ARG_INT, &options->mean_ms,
          "mean service time", "N"},
-        {"service", 0, 0, G_OPTION_ARG_STRING, &options->shape,
+        {"service", 0, 0, G_OPTION_ARG_STRING, &options->distribution,
          "exponential (default), lognormal or fixed", "SHAPE"},
         {"sigma", 0, 0, G_OPTION_ARG_DOUBLE, &options->sigma,
-         "of the lognormal", "X"},
-        {"seed", 0, 0, G_OPTION_ARG_INT, &options->seed, "", "N"},
+         "sigma of the lognormal distribution", "X"},
+        {"seed", 0, 0, G_OPTION_ARG_INT, &options->seed,
+         "seed of the service times", "N"},
         {"rtt-ms", 0, 0, G_OPTION_ARG_DOUBLE, &options->rtt_ms,
-         "round trip to the servers", "X"},
+         "simulated round trip to the servers", "MS"},
         {"probe-ms", 0, 0, G_OPTION_ARG_DOUBLE, &settings->probe_ms,
-         "more on each probe", "X"},
-        {"cold-s", 0, 0, G_OPTION_ARG_DOUBLE, &settings->cold_s, "cold start",
-         "S"},
+         "added to each probe's answer", "MS"},
+        {"cold-s", 0, 0, G_OPTION_ARG_DOUBLE, &settings->cold_s,
+         "length of a cold start", "S"},
         {"cold-factor", 0, 0, G_OPTION_ARG_DOUBLE, &settings->cold_factor,
-         "how much slower it is then", "X"},
+         "factor on service times during a cold start", "X"},
         {NULL, 0, 0, 0, NULL, NULL, NULL},
     };
     g_autoptr(GOptionContext) context = g_option_context_new(NULL);
@@ -151,8 +155,8 @@
     return true;
 }
 
-static enum service_shape
-get_shape(const char *name)
+static enum service_distribution
+get_distribution(const char *name)
 {
     if (g_strcmp0(name, "fixed") == 0) {
         return SERVICE_FIXED;
@@ -175,7 +179,7 @@
     int port = 0;
     app->control = Http_Bind(app, &port);
     if (Http_Listen(app->control, NULL) != 0) {
-        g_error("cannot listen for control");
+        g_error("cannot listen on the control port");
     }
     printf("CONTROL %d\n", port);
     fflush(stdout);
--- a/tests/standins/backend_control.c
+++ b/tests/standins/backend_control.c
@@ -5,13 +5,13 @@
 
 static void serve_counts(struct request *request);
 static void change_servers(struct request *request, const char *pattern);
-static bool apply(struct server *server, json_t *changes);
+static bool apply_changes(struct server *server, json_t *changes);
 static bool apply_number(struct settings *settings, const char *name,
                          double value);
 static bool apply_report(struct settings *settings, const char *mode);
 static json_t *describe_counts(const struct counts *counts);
 static json_t *describe_server(const struct server *server);
-static json_t *describe_journal(struct app *app, const char *only);
+static json_t *describe_keys(struct app *app, const char *only_key);
 static void answer_json(struct request *request, int status, json_t *json);
 
 void
@@ -42,8 +42,8 @@
     }
     json_t *answer = json_object();
     json_object_set_new(answer, "servers", servers);
-    json_object_set_new(answer, "keys", describe_journal(app, key));
-    json_object_set_new(answer, "keys_lost", json_integer(app->journal_lost));
+    json_object_set_new(answer, "keys", describe_keys(app, key));
+    json_object_set_new(answer, "keys_lost", json_integer(app->keys_lost));
     json_object_set_new(answer, "peak", json_integer(app->peak));
     answer_json(request, 200, answer);
 }
@@ -55,22 +55,22 @@
     json_t *changes =
         json_loadb(request->body->str, request->body->len, 0, NULL);
     int matches = 0;
-    bool is_good = json_is_object(changes);
-    for (guint i = 0; is_good && i < app->servers->len; i++) {
+    bool is_valid = json_is_object(changes);
+    for (guint i = 0; is_valid && i < app->servers->len; i++) {
         struct server *server = g_ptr_array_index(app->servers, i);
         if (g_pattern_match_simple(pattern, server->name)) {
             matches++;
-            is_good = apply(server, changes);
+            is_valid = apply_changes(server, changes);
         }
     }
     json_decref(changes);
     json_t *answer = json_object();
     json_object_set_new(answer, "servers", json_integer(matches));
-    answer_json(request, !is_good ? 400 : matches == 0 ? 404 : 200, answer);
+    answer_json(request, !is_valid ? 400 : matches == 0 ? 404 : 200, answer);
 }
 
 static bool
-apply(struct server *server, json_t *changes)
+apply_changes(struct server *server, json_t *changes)
 {
     struct settings *settings = &server->settings;
     const char *name;
@@ -93,14 +93,14 @@
             settings->echo = json_is_true(value);
         }
         else if (g_str_equal(name, "silent")) {
-            Server_SilenceConnections(server);
+            Server_StallConnections(server);
         }
         else if (g_str_equal(name, "crash")) {
             Server_Crash(server, json_integer_value(value));
         }
         else if (g_str_equal(name, "cold_s")) {
             settings->cold_s = json_number_value(value);
-            server->born_ms = (int64_t)uv_now(&server->app->loop);
+            server->started_ms = (int64_t)uv_now(&server->app->loop);
         }
         else if (!apply_number(settings, name, json_number_value(value))) {
             return false;
@@ -189,15 +189,15 @@
 }
 
 static json_t *
-describe_journal(struct app *app, const char *only)
+describe_keys(struct app *app, const char *only_key)
 {
     json_t *keys = json_object();
     GHashTableIter at;
     gpointer key;
     gpointer counts;
-    g_hash_table_iter_init(&at, app->journal);
+    g_hash_table_iter_init(&at, app->key_counts);
     while (g_hash_table_iter_next(&at, &key, &counts)) {
-        if (only == NULL || g_str_equal(only, key)) {
+        if (only_key == NULL || g_str_equal(only_key, key)) {
             json_object_set_new(keys, key, describe_counts(counts));
         }
     }
--- a/tests/standins/backend_http.c
+++ b/tests/standins/backend_http.c
@@ -6,8 +6,8 @@
 #define MAX_PENDING (1024 * 1024)
 #define MAX_CONTROL_BODY (1024 * 1024)
 #define BACKLOG 512
-#define LATE_MS 20
-#define LATE_BYTES "HTTP/1.1 200 OK\r\n%s%s%sContent-Length: 4\r\n\r\nlate"
+#define EXTRA_DELAY_MS 20
+#define EXTRA_ANSWER "HTTP/1.1 200 OK\r\n%s%s%sContent-Length: 4\r\n\r\nlate"
 
 struct write {
     uv_write_t write;
@@ -32,7 +32,7 @@
 static void parse(struct connection *connection, const char *at,
                   size_t length);
 static void parse_pending(struct connection *connection);
-static void keep_header(struct request *request);
+static void store_header(struct request *request);
 static void write_text(struct connection *connection, GString *text,
                        bool close);
 
@@ -81,7 +81,7 @@
         g_hash_table_remove(connection->server->connected, connection);
     }
     if (connection->request != NULL) {
-        Server_Forget(connection->request);
+        Server_HandleDisconnect(connection->request);
     }
     if (!reset || uv_tcp_close_reset(&connection->handle, on_closed) != 0) {
         uv_close((uv_handle_t *)&connection->handle, on_closed);
@@ -102,15 +102,15 @@
     }
     GString *text = request->answer;
     request->answer = g_string_new(NULL);
-    if (request->ending == END_LATE) {
+    if (request->ending == END_EXTRA) {
         request->ending = END_KEEP;
         const char *id = Http_GetHeader(request, "sas-request-id");
         bool echo = id != NULL && connection->server->settings.echo;
-        g_string_printf(request->answer, LATE_BYTES,
+        g_string_printf(request->answer, EXTRA_ANSWER,
                         echo ? "Sas-Request-Id: " : "", echo ? id : "",
                         echo ? "\r\n" : "");
         write_text(connection, text, false);
-        Server_DeliverLater(request, LATE_MS);
+        Server_ScheduleDelivery(request, EXTRA_DELAY_MS);
         return;
     }
     bool close = request->ending == END_CLOSE || !request->keep_alive;
@@ -153,10 +153,10 @@
 
 double
 Http_GetNumber(const struct request *request, const char *name,
-               double otherwise)
+               double default_value)
 {
     g_autofree char *text = Http_GetParameter(request, name);
-    return text == NULL ? otherwise : g_ascii_strtod(text, NULL);
+    return text == NULL ? default_value : g_ascii_strtod(text, NULL);
 }
 
 void
@@ -168,7 +168,7 @@
     if (request->server != NULL) {
         g_string_append_printf(answer, "Sas-Standin: %s\r\n",
                                request->server->name);
-        Server_AddLoad(request->server, answer, false);
+        Server_AppendLoad(request->server, answer, false);
         const char *id = Http_GetHeader(request, "sas-request-id");
         if (id != NULL && request->server->settings.echo) {
             g_string_append_printf(answer, "Sas-Request-Id: %s\r\n", id);
@@ -235,7 +235,7 @@
         Http_CloseConnection(connection, false);
         return;
     }
-    if (size == 0 || connection->is_silent) {
+    if (size == 0 || connection->is_stalled) {
         return;
     }
     bool is_busy = connection->request != NULL &&
@@ -330,7 +330,7 @@
 {
     struct request *request = ((struct connection *)parser->data)->request;
     if (request->has_value) {
-        keep_header(request);
+        store_header(request);
     }
     g_string_append_len(request->header_name, at, (gssize)length);
     return 0;
@@ -350,7 +350,7 @@
 {
     struct connection *connection = parser->data;
     struct request *request = connection->request;
-    keep_header(request);
+    store_header(request);
     request->method = parser->method;
     request->keep_alive = http_should_keep_alive(parser) != 0;
     g_autofree char *fault = Http_GetParameter(request, "fault");
@@ -384,7 +384,7 @@
 }
 
 static void
-keep_header(struct request *request)
+store_header(struct request *request)
 {
     if (request->header_name->len > 0) {
         g_hash_table_insert(request->headers,
@@ -399,7 +399,7 @@
 static void
 write_text(struct connection *connection, GString *text, bool close)
 {
-    if (connection->is_silent || connection->is_closing) {
+    if (connection->is_stalled || connection->is_closing) {
         g_string_free(text, TRUE);
         return;
     }
--- a/tests/standins/backend_server.c
+++ b/tests/standins/backend_server.c
@@ -12,16 +12,16 @@
 static void start(struct request *request);
 static void start_next(struct server *server);
 static void finish(struct request *request);
-static void leave_slot(struct request *request);
+static void release_slot(struct request *request);
 static void send_answer(struct request *request);
 static void refuse(struct request *request, const char *reason);
-static void probe(struct request *request);
+static void answer_probe(struct request *request);
 static void make_answer(struct request *request);
 static void make_faulty_answer(struct request *request, const char *fault);
 static GString *make_body(const struct request *request);
 static double draw_service_ms(struct request *request);
-static void take_sample(struct server *server);
-static struct sample get_report(struct server *server);
+static void record_load(struct server *server);
+static struct sample get_reported_load(struct server *server);
 static void set_timer(struct request *request, double ms);
 static bool is_past_deadline(const struct request *request);
 static bool has_fault(const struct request *request, const char *fault);
@@ -35,7 +35,7 @@
     server->name = g_strdup(name);
     server->settings = *settings;
     server->connected = g_hash_table_new(NULL, NULL);
-    server->runners = g_hash_table_new(NULL, NULL);
+    server->running_requests = g_hash_table_new(NULL, NULL);
     g_queue_init(&server->queue);
     uv_timer_init(&app->loop, &server->restart_timer);
     server->restart_timer.data = server;
@@ -54,15 +54,15 @@
         g_error("%s cannot listen on port %d", server->name, server->port);
     }
     server->is_open = true;
-    if (server->born_ms == 0) {
+    if (server->started_ms == 0) {
         server->incarnation++;
-        server->born_ms = (int64_t)uv_now(&server->app->loop);
-        take_sample(server);
+        server->started_ms = (int64_t)uv_now(&server->app->loop);
+        record_load(server);
     }
 }
 
-/* A second socket holds the port, bound but not listening: connecting is
- * refused, and no other process gets the port meanwhile. */
+/* A second socket binds the port without listening: connections are refused,
+ * and no other process can get the port meanwhile. */
 void
 Server_Refuse(struct server *server)
 {
@@ -78,13 +78,13 @@
 Server_Crash(struct server *server, int64_t restart_ms)
 {
     Server_Refuse(server);
-    server->born_ms = 0;
-    g_autoptr(GList) lost = g_hash_table_get_keys(server->runners);
+    server->started_ms = 0;
+    g_autoptr(GList) lost = g_hash_table_get_keys(server->running_requests);
     for (GList *at = lost; at != NULL; at = at->next) {
         struct request *request = at->data;
         server->counts.crashed++;
-        Journal_Get(server->app, request)->crashed++;
-        leave_slot(request);
+        KeyCounts_Get(server->app, request)->crashed++;
+        release_slot(request);
         request->phase = PHASE_ANSWERING;
         if (request->connection == NULL) {
             Http_FreeRequest(request);
@@ -99,13 +99,13 @@
 }
 
 void
-Server_SilenceConnections(struct server *server)
+Server_StallConnections(struct server *server)
 {
     GHashTableIter at;
     gpointer connection;
     g_hash_table_iter_init(&at, server->connected);
     while (g_hash_table_iter_next(&at, &connection, NULL)) {
-        ((struct connection *)connection)->is_silent = true;
+        ((struct connection *)connection)->is_stalled = true;
     }
 }
 
@@ -119,7 +119,7 @@
             (int64_t)uv_now(&request->server->app->loop) +
             g_ascii_strtoll(deadline, NULL, 10);
     }
-    /* A new connection costs a round trip before its first request. */
+    /* A new connection costs one more round trip. */
     double delay_ms = settings->delay_ms * (request->is_first ? 3 : 1);
     request->phase = PHASE_ARRIVING;
     if (delay_ms > 0) {
@@ -131,42 +131,42 @@
 }
 
 void
-Server_Forget(struct request *request)
+Server_HandleDisconnect(struct request *request)
 {
     struct server *server = request->server;
     struct connection *connection = request->connection;
     request->connection = NULL;
     connection->request = NULL;
-    if (connection->is_silent && request->phase == PHASE_RUNNING) {
-        return; /* the server cannot know that the caller has gone */
+    if (connection->is_stalled && request->phase == PHASE_RUNNING) {
+        return; /* the server cannot see the disconnect */
     }
     if (request->phase == PHASE_RUNNING) {
         server->counts.cancelled++;
-        Journal_Get(server->app, request)->cancelled++;
-        leave_slot(request);
+        KeyCounts_Get(server->app, request)->cancelled++;
+        release_slot(request);
         start_next(server);
     }
     else if (request->phase == PHASE_QUEUED ||
              request->phase == PHASE_ARRIVING) {
         server->counts.dropped++;
-        Journal_Get(server->app, request)->dropped++;
+        KeyCounts_Get(server->app, request)->dropped++;
         g_queue_remove(&server->queue, request);
-        take_sample(server);
+        record_load(server);
     }
     Http_FreeRequest(request);
 }
 
 void
-Server_DeliverLater(struct request *request, double ms)
+Server_ScheduleDelivery(struct request *request, double ms)
 {
     request->phase = PHASE_ANSWERING;
     set_timer(request, ms);
 }
 
 void
-Server_AddLoad(struct server *server, GString *text, bool as_json)
+Server_AppendLoad(struct server *server, GString *text, bool as_json)
 {
-    struct sample load = get_report(server);
+    struct sample load = get_reported_load(server);
     const struct settings *settings = &server->settings;
     if (as_json) {
         g_string_append_printf(
@@ -185,27 +185,27 @@
 }
 
 struct counts *
-Journal_Get(struct app *app, const struct request *request)
+KeyCounts_Get(struct app *app, const struct request *request)
 {
     const char *key = Http_GetHeader(request, "idempotency-key");
     if (key == NULL) {
         key = Http_GetHeader(request, "sas-request-id");
     }
     if (key == NULL) {
-        return &app->unnamed;
+        return &app->unkeyed;
     }
-    struct counts *counts = g_hash_table_lookup(app->journal, key);
+    struct counts *counts = g_hash_table_lookup(app->key_counts, key);
     if (counts != NULL) {
         return counts;
     }
     counts = g_new0(struct counts, 1);
     char *owned = g_strdup(key);
-    g_hash_table_insert(app->journal, owned, counts);
-    g_queue_push_tail(&app->journal_keys, owned);
-    if (app->journal_keys.length > MAX_JOURNAL) {
-        g_hash_table_remove(app->journal,
-                            g_queue_pop_head(&app->journal_keys));
-        app->journal_lost++;
+    g_hash_table_insert(app->key_counts, owned, counts);
+    g_queue_push_tail(&app->key_order, owned);
+    if (app->key_order.length > MAX_KEYS) {
+        g_hash_table_remove(app->key_counts,
+                            g_queue_pop_head(&app->key_order));
+        app->keys_lost++;
     }
     return counts;
 }
@@ -247,10 +247,10 @@
 {
     struct server *server = request->server;
     if (g_str_equal(request->target->str, "/v1/load")) {
-        probe(request);
+        answer_probe(request);
     }
     else if (has_fault(request, "silent")) {
-        request->connection->is_silent = true;
+        request->connection->is_stalled = true;
         request->phase = PHASE_READING;
     }
     else if (is_past_deadline(request)) {
@@ -262,7 +262,7 @@
     else if ((int)server->queue.length < server->settings.queue) {
         request->phase = PHASE_QUEUED;
         g_queue_push_tail(&server->queue, request);
-        take_sample(server);
+        record_load(server);
         if (request->deadline_at_ms > 0) {
             set_timer(request, (double)(request->deadline_at_ms -
                                         (int64_t)uv_now(&server->app->loop)));
@@ -279,10 +279,10 @@
     struct server *server = request->server;
     request->phase = PHASE_RUNNING;
     server->running++;
-    g_hash_table_add(server->runners, request);
+    g_hash_table_add(server->running_requests, request);
     server->counts.started++;
-    Journal_Get(server->app, request)->started++;
-    take_sample(server);
+    KeyCounts_Get(server->app, request)->started++;
+    record_load(server);
     uv_timer_stop(&request->timer);
     if (!has_fault(request, "hang")) {
         set_timer(request, draw_service_ms(request));
@@ -307,15 +307,15 @@
                                                      RESTART_MS));
         return;
     }
-    leave_slot(request);
+    release_slot(request);
     if (is_past_deadline(request)) {
         server->counts.cancelled++;
-        Journal_Get(server->app, request)->cancelled++;
+        KeyCounts_Get(server->app, request)->cancelled++;
         Http_SetAnswer(request, 504, "", NULL, 0);
     }
     else {
         server->counts.finished++;
-        Journal_Get(server->app, request)->finished++;
+        KeyCounts_Get(server->app, request)->finished++;
         make_answer(request);
     }
     start_next(server);
@@ -323,18 +323,18 @@
 }
 
 static void
-leave_slot(struct request *request)
+release_slot(struct request *request)
 {
     request->server->running--;
-    g_hash_table_remove(request->server->runners, request);
-    take_sample(request->server);
+    g_hash_table_remove(request->server->running_requests, request);
+    record_load(request->server);
 }
 
 static void
 send_answer(struct request *request)
 {
     if (request->server->settings.delay_ms > 0) {
-        Server_DeliverLater(request, request->server->settings.delay_ms);
+        Server_ScheduleDelivery(request, request->server->settings.delay_ms);
     }
     else {
         request->phase = PHASE_ANSWERING;
@@ -347,7 +347,7 @@
 {
     struct server *server = request->server;
     server->counts.shed++;
-    Journal_Get(server->app, request)->shed++;
+    KeyCounts_Get(server->app, request)->shed++;
     g_autofree char *body =
         g_strdup_printf("{\"reason\":\"%s\",\"outcome\":\"not-run\"}", reason);
     Http_SetAnswer(request, 503, "Sas-Outcome: not-run\r\nRetry-After: 1\r\n",
@@ -356,15 +356,15 @@
 }
 
 static void
-probe(struct request *request)
+answer_probe(struct request *request)
 {
     struct server *server = request->server;
     server->counts.probes++;
     g_autoptr(GString) body = g_string_new(NULL);
-    Server_AddLoad(server, body, true);
+    Server_AppendLoad(server, body, true);
     Http_SetAnswer(request, 200, "", body->str, body->len);
-    Server_DeliverLater(request,
-                        server->settings.delay_ms + server->settings.probe_ms);
+    Server_ScheduleDelivery(request, server->settings.delay_ms +
+                                         server->settings.probe_ms);
 }
 
 static void
@@ -412,7 +412,7 @@
     }
     else if (g_str_equal(fault, "late")) {
         Http_SetAnswer(request, 200, "", body->str, body->len);
-        request->ending = END_LATE;
+        request->ending = END_EXTRA;
     }
     else if (g_str_equal(fault, "reset-mid")) {
         request->ending = END_RESET;
@@ -422,8 +422,8 @@
     }
 }
 
-/* Tells the caller's request apart from all others, so that a test sees an
- * answer that went to somebody else. */
+/* Identifies the request, so that a test detects an answer that was delivered
+ * to another caller. */
 static GString *
 make_body(const struct request *request)
 {
@@ -448,7 +448,7 @@
     return body;
 }
 
-/* How long the request will run; its deadline ends the run early. */
+/* Service time of the request; its deadline cuts it short. */
 static double
 draw_service_ms(struct request *request)
 {
@@ -464,14 +464,14 @@
         double v = g_rand_double(app->random);
         double normal = sqrt(-2.0 * log(u)) * cos(2.0 * G_PI * v);
         double shift = -app->sigma * app->sigma / 2.0;
-        ms = app->shape == SERVICE_FIXED ? app->mean_ms
-             : app->shape == SERVICE_EXPONENTIAL
+        ms = app->distribution == SERVICE_FIXED ? app->mean_ms
+             : app->distribution == SERVICE_EXPONENTIAL
                  ? -app->mean_ms * log(u)
                  : app->mean_ms * exp(shift + app->sigma * normal);
     }
     int64_t now_ms = (int64_t)uv_now(&app->loop);
     ms *= server->settings.slow;
-    if ((double)(now_ms - server->born_ms) <
+    if ((double)(now_ms - server->started_ms) <
         server->settings.cold_s * 1000.0) {
         ms *= server->settings.cold_factor;
     }
@@ -482,7 +482,7 @@
 }
 
 static void
-note_peak(struct app *app)
+update_peak(struct app *app)
 {
     int total = 0;
     for (guint i = 0; i < app->servers->len; i++) {
@@ -493,9 +493,9 @@
 }
 
 static void
-take_sample(struct server *server)
+record_load(struct server *server)
 {
-    note_peak(server->app);
+    update_peak(server->app);
     server->samples[server->sample_count++ % MAX_SAMPLES] = (struct sample){
         .at_ms = (int64_t)uv_now(&server->app->loop),
         .running = server->running,
@@ -504,7 +504,7 @@
 }
 
 static struct sample
-get_report(struct server *server)
+get_reported_load(struct server *server)
 {
     const struct settings *settings = &server->settings;
     if (settings->report == REPORT_ZERO) {
--- a/tests/standins/tests/test_backend.py
+++ b/tests/standins/tests/test_backend.py
@@ -8,7 +8,7 @@
 import subprocess
 import unittest
 
-PATIENCE_S = 30
+TIMEOUT_S = 30
 
 
 class BackendTest(unittest.TestCase):
@@ -36,7 +36,7 @@
 
     def connect(self, name="d-01"):
         connection = http.client.HTTPConnection(
-            "127.0.0.1", self.ports[name], timeout=PATIENCE_S)
+            "127.0.0.1", self.ports[name], timeout=TIMEOUT_S)
         self.open_connections.append(connection)
         return connection
 
@@ -53,7 +53,7 @@
 
     def control(self, method, path, changes=None):
         connection = http.client.HTTPConnection(
-            "127.0.0.1", self.control_port, timeout=PATIENCE_S)
+            "127.0.0.1", self.control_port, timeout=TIMEOUT_S)
         body = json.dumps(changes) if changes is not None else None
         connection.request(method, path, body)
         answer = connection.getresponse()
@@ -72,11 +72,12 @@
         return self.control("GET", "/counts?key=" + key)[1]["keys"].get(key)
 
     def wait_until(self, condition):
-        """Polls; a condition that never holds ends in the test's timeout."""
+        """Polls until the condition holds; only the test runner's timeout
+        ends it otherwise."""
         while not condition():
             pass
 
-    def test_whole_answers_name_their_request(self):
+    def test_complete_answers_identify_their_request(self):
         connection = self.connect()
         answer, text = self.get("/a?ms=0", connection, b"x" * 300000)
         self.assertEqual(answer.status, 200)
@@ -118,7 +119,7 @@
         self.assertEqual((answer.status, answer.getheader("Sas-Outcome")),
                          (504, None))
 
-    def test_crash_resets_all_and_comes_back(self):
+    def test_crash_resets_connections_and_restarts(self):
         running = self.send("/?fault=hang", Idempotency_Key="r")
         self.wait_until(lambda: self.counts()["running"] == 1)
         before = json.loads(self.get("/v1/load")[1])["incarnation"]
@@ -135,7 +136,7 @@
         self.assertNotEqual(after["incarnation"], before)
         self.assertEqual(after["running"], 0)
 
-    def test_cut_answers(self):
+    def test_truncated_answers(self):
         with self.assertRaises(http.client.IncompleteRead):
             self.get("/?ms=0&fault=cut-chunked")
         with self.assertRaises(http.client.IncompleteRead):
@@ -144,7 +145,7 @@
         self.assertIsNone(answer.getheader("Content-Length"))
         self.assertEqual(len(text), 9)
 
-    def test_resets_tell_run_from_not_run(self):
+    def test_reset_before_and_after_the_run(self):
         with self.assertRaises(ConnectionError):
             self.get("/?ms=0&fault=reset-mid", None, b"body",
                      Idempotency_Key="whole")
@@ -154,9 +155,9 @@
                      Idempotency_Key="part")
         self.assertIsNone(self.key("part"))
 
-    def test_late_bytes_follow_a_whole_answer(self):
+    def test_extra_answer_follows_a_complete_one(self):
         raw = socket.create_connection(("127.0.0.1", self.ports["d-01"]),
-                                       PATIENCE_S)
+                                       TIMEOUT_S)
         raw.sendall(b"GET /?ms=0&bytes=4&fault=late HTTP/1.1\r\n\r\n")
         text = b""
         while not text.endswith(b"late"):
@@ -164,7 +165,7 @@
         self.assertEqual(text.count(b"HTTP/1.1 200"), 2)
         raw.close()
 
-    def test_silent_connections_and_new_ones(self):
+    def test_stalled_connections_do_not_affect_new_ones(self):
         old = self.connect()
         self.get("/?ms=0", old)
         self.change(silent=True)
@@ -183,7 +184,7 @@
         self.change(refuse=False)
         self.assertEqual(self.get("/?ms=0")[0].status, 200)
 
-    def test_reports_may_lie_and_leaving_is_told(self):
+    def test_false_load_reports_and_leaving(self):
         self.send("/?fault=hang")
         self.wait_until(lambda: self.counts()["running"] == 1)
         self.change("*", report="zero", leaving=True)
@@ -194,14 +195,14 @@
         self.assertEqual(
             self.control("PUT", "/servers/*", {"wrong": 1})[0], 400)
 
-    def test_connections_are_bounded(self):
+    def test_connections_are_limited(self):
         self.change(connections=1)
         self.get("/?ms=0", self.connect())
         with self.assertRaises(ConnectionError):
             self.get("/?ms=0", self.connect())
         self.assertEqual(self.counts()["refused"], 1)
 
-    def test_delay_and_slowness_still_answer(self):
+    def test_slow_servers_still_answer(self):
         self.change(delay_ms=2, probe_ms=3, slow=2, cold_s=60, cold_factor=2)
         connection = self.connect()
         for _ in range(3):
