--- a/tests/standins/platform.py
+++ b/tests/standins/platform.py
@@ -3,24 +3,24 @@
 
 Usage: platform.py [--port 0] [--vms FILE]
 
-Prints "PORT n" on standard output once it listens on 127.0.0.1 and keeps
-everything in memory. The calls are those of docs/API.md, "Platform store":
+Listens on 127.0.0.1, prints "PORT n" on standard output and keeps all rows in
+memory. The calls are those of docs/API.md, "Platform store":
 
     GET, PUT /table/KEY and /objects/KEY   ETag, If-Match, If-None-Match: *
-    GET, PUT /vms                          PUT sets the list
+    GET, PUT /vms                          PUT replaces the list
 
-PUT /control takes a JSON object and sets the faults it names:
+PUT /control takes a JSON object with the faults to set:
 
-    {"down": true}         connections are closed without an answer
-    {"freeze": true}       requests are accepted and never answered
-    {"delay_ms": 200}      every request waits so long before it is served
-    {"lose_acks": 3}       the next 3 accepted writes take effect and their
-                           connection is closed without an answer
-    {"stale_reads": true}  reads answer the value before the last write
+    {"down": true}         closes connections without an answer
+    {"freeze": true}       accepts requests and never answers them
+    {"delay_ms": 200}      delays every request before it is served
+    {"lose_acks": 3}       applies the next 3 accepted writes and closes their
+                           connections without an answer
+    {"stale_reads": true}  answers reads with the value before the last write
 
-GET /control answers the settings in force and how many reads, writes,
-conflicts (412), lost acknowledgements and frozen requests there were.
-/control itself works under every fault.
+GET /control answers the current faults and the counts of reads, writes,
+conflicts (412), lost acknowledgements and frozen requests. /control and
+PUT /vms work under every fault.
 """
 
 import argparse
@@ -37,7 +37,7 @@
 
 
 class Row:
-    """A value, its version, and what was there before the last write."""
+    """A value with its version, and both from before the last write."""
 
     def __init__(self):
         self.value = None
@@ -58,7 +58,7 @@
 
 
 class Store:
-    """All rows, the VM list, the faults and the counts, under one lock."""
+    """Rows, VM list, faults and counts, guarded by one lock."""
 
     def __init__(self, vms):
         self.lock = threading.Lock()
@@ -76,7 +76,7 @@
                        "lost_acks": 0, "frozen": 0}
 
     def read(self, key):
-        """Returns (value, etag), or (None, None) for an absent row."""
+        """Returns (value, etag); (None, None) if the row does not exist."""
         with self.lock:
             self.counts["reads"] += 1
             row = self.rows.get(key)
@@ -86,7 +86,8 @@
             return value, etag_of(version)
 
     def write(self, key, value, if_match, if_none_match):
-        """Returns (status, etag, acknowledged)."""
+        """Returns (status, etag, acknowledged); without the last the write
+        took effect and its answer is to be dropped."""
         with self.lock:
             self.counts["writes"] += 1
             row = self.rows.get(key)
@@ -105,7 +106,8 @@
             return status, etag_of(row.version), acknowledged
 
     def set_faults(self, changes):
-        """Returns the name of a change that is wrong, or None."""
+        """Returns the first unknown or mistyped name, or None. Applies all
+        changes or none."""
         with self.lock:
             for name, value in changes.items():
                 known = self.faults.get(name)
@@ -147,7 +149,7 @@
     def do_GET(self):
         if self.path == "/control":
             self.answer_json(200, self.server.store.describe())
-        elif self.fault_strikes():
+        elif self.apply_faults():
             self.close_connection = True
         elif self.path == "/vms":
             self.answer_json(200, self.server.store.vms)
@@ -164,7 +166,7 @@
             self.put_control(body)
         elif self.path == "/vms":
             self.put_vms(body)
-        elif self.fault_strikes():
+        elif self.apply_faults():
             self.close_connection = True
         elif KEY_PATTERN.fullmatch(self.path):
             self.put_row(body)
@@ -209,11 +211,11 @@
         self.server.store.vms = vms
         self.answer(200)
 
-    def fault_strikes(self):
-        """Delays, freezes or drops this request; true when dropped.
+    def apply_faults(self):
+        """Delays or freezes this request; true if it must be dropped.
 
-        A request that was frozen is never served, also after the freeze
-        has ended: its connection is closed then.
+        A frozen request is never served: when the freeze ends, its
+        connection is closed.
         """
         faults = self.server.store.faults
         if faults["freeze"]:
--- a/tests/standins/rows.py
+++ b/tests/standins/rows.py
@@ -1,21 +1,22 @@
-"""Stand-in for the platform's store of rows, as published in its protocol.
+"""Stand-in for the platform's row store, as published in its protocol.
 
-A `RowStore` keeps tables of rows with one counter of versions and serves
-rows-tx, rows-get, rows-feed and rows-parts on a loopback port. It runs on
-threads of the test's own process. Faults are set by attributes:
+A `RowStore` keeps tables of rows with one version counter and serves rows-tx,
+rows-get and rows-feed on loopback ports. It runs on threads of the test's own
+process. Faults are set by attributes:
 
-    refused     ports whose callers get 503; `open_port` gives each of them
-                one of its own
-    silenced    ports whose callers get no answer, also to a call that waits
-                for changes already
+    refused     ports on which calls get 503; `open_port` opens one port per
+                entry VM
+    silenced    ports on which calls get no answer, not even a long poll that
+                was already waiting
     mode        "" serves, "busy" answers 503, "silent" never answers,
                 "reset" closes without an answer
-    delay_s     every call waits so long
-    lose_acks   so many writes take effect and their connection closes
-    bytes_per_s answers of GET go out no faster; 0: at once
-    stop_after  answers of GET stop after so many bytes, their connection
-                stays open; 0: they are whole
-    compact()   forgets all history: a feed from before gets 410
+    delay_s     delay of every call
+    lose_acks   number of writes that are applied and whose connection closes
+                without an answer; one with a failed precondition counts too
+    bytes_per_s limit on the rate of each answer's body; 0: none
+    stop_after  answers stall after this many bytes of the body, with the
+                connection open; 0: never
+    compact()   discards the change log: a feed from an older version gets 410
 """
 
 import base64
@@ -25,9 +26,9 @@
 import urllib.parse
 from http.server import BaseHTTPRequestHandler, ThreadingHTTPServer
 
-PAGE = 500
-SILENT_S = 3600
-PIECES_PER_S = 20
+MAX_PAGE_ROWS = 500
+MAX_SILENCE_S = 3600
+CHUNKS_PER_S = 20
 
 
 class Row:
@@ -48,7 +49,7 @@
 
 
 class QuietServer(ThreadingHTTPServer):
-    """Callers that are killed by a test are no news."""
+    """Prints no errors of connections whose caller was killed by a test."""
 
     daemon_threads = True
 
@@ -61,9 +62,9 @@
         self.lock = threading.Condition()
         self.rows = {}
         self.version = 1
-        self.forgotten = 0
+        self.compacted_to = 0
         self.calls = 0
-        self.waits = []  # wait-ms of each feed
+        self.waits = []  # wait-ms of each rows-feed call
         self.mode = ""
         self.refused = set()
         self.silenced = set()
@@ -75,7 +76,7 @@
         self.servers = []
 
     def open_port(self):
-        """One more port on which the store is served."""
+        """Serves the store on one more port and returns the port."""
         server = QuietServer(("127.0.0.1", 0), make_handler(self))
         self.servers.append(server)
         threading.Thread(target=server.serve_forever, daemon=True).start()
@@ -89,7 +90,7 @@
             server.shutdown()
             server.server_close()
 
-    # The operator and the servers write directly.
+    # Direct access for the test, in place of the operator and the servers.
 
     def put(self, table, key, value, part=""):
         data = value if isinstance(value, bytes) else \
@@ -110,7 +111,7 @@
 
     def compact(self):
         with self.lock:
-            self.forgotten = self.version
+            self.compacted_to = self.version
             self.rows = {k: r for k, r in self.rows.items()
                          if r.value is not None}
 
@@ -119,12 +120,12 @@
             return sorted(r.key for r in self.rows.values()
                           if r.table == table and r.value is not None)
 
-    # Calls.
+    # Calls of the protocol, with the lock held.
 
     def get(self, query):
         table, part = query["table"], query.get("part", "")
         first, end = query.get("from", ""), query.get("to")
-        limit = min(int(query.get("limit", PAGE)), PAGE)
+        limit = min(int(query.get("limit", MAX_PAGE_ROWS)), MAX_PAGE_ROWS)
         found = sorted((r for r in self.rows.values()
                         if r.table == table and r.part == part and
                         r.value is not None and r.key >= first and
@@ -142,9 +143,9 @@
         table, after = query["table"], int(query["after"])
         end = time.monotonic() + int(query.get("wait-ms", 0)) / 1000
         while not self.changes(table, after) and not self.stopped and \
-                after >= self.forgotten and time.monotonic() < end:
+                after >= self.compacted_to and time.monotonic() < end:
             self.lock.wait(max(end - time.monotonic(), 0.001))
-        if after < self.forgotten:
+        if after < self.compacted_to:
             return None
         return {"rows": [r.to_json() for r in self.changes(table, after)],
                 "ver": self.version, "now-ms": int(time.monotonic() * 1000)}
@@ -154,8 +155,8 @@
             return self.rows.get((row["table"], row.get("part", ""),
                                   row["key"]))
         for row in body.get("precondition", []):
-            there = find(row)
-            version = there.version if there and there.value is not None else 0
+            found = find(row)
+            version = found.version if found and found.value is not None else 0
             if version != row["ver"]:
                 return None
         self.version += 1
@@ -195,33 +196,34 @@
             if not store.bytes_per_s:
                 self.wfile.write(data)
                 return
-            size = max(store.bytes_per_s // PIECES_PER_S, 1)
+            size = max(store.bytes_per_s // CHUNKS_PER_S, 1)
             for start in range(0, len(data), size):
                 self.wfile.write(data[start:start + size])
-                time.sleep(1 / PIECES_PER_S)
+                time.sleep(1 / CHUNKS_PER_S)
 
         def is_silent(self):
             return store.mode == "silent" or \
                 self.server.server_address[1] in store.silenced
 
-        def sit_out_silence(self):
-            """True when the call fell into it and gets no answer."""
+        def hold_if_silent(self):
+            """Holds the call while its port or the store is unresponsive;
+            true if that happened: it must get no answer then."""
             if not self.is_silent():
                 return False
-            end = time.monotonic() + SILENT_S
+            end = time.monotonic() + MAX_SILENCE_S
             while self.is_silent() and time.monotonic() < end and \
                     not store.stopped:
                 time.sleep(0.05)
             self.close_connection = True
             return True
 
-        def is_faulty(self):
-            """True when the fault in force has dealt with the call."""
+        def apply_faults(self):
+            """Applies the current faults; true if they ended the call."""
             mode = store.mode
             refused = self.server.server_address[1] in store.refused
             if store.delay_s:
                 time.sleep(store.delay_s)
-            if self.sit_out_silence():
+            if self.hold_if_silent():
                 return True
             if mode == "reset":
                 self.close_connection = True
@@ -238,7 +240,7 @@
                                                 keep_blank_values=True))
             if url.path == "/rows-feed":
                 store.waits.append(int(query.get("wait-ms", 0)))
-            if self.is_faulty():
+            if self.apply_faults():
                 return
             if url.path not in ("/rows-get", "/rows-feed"):
                 self.answer(404, {"error": "no such call"})
@@ -246,7 +248,7 @@
             call = store.get if url.path == "/rows-get" else store.feed
             with store.lock:
                 body = call(query)
-            if self.sit_out_silence():
+            if self.hold_if_silent():
                 return
             self.answer(200 if body is not None else 410, body or {})
 
@@ -254,7 +256,7 @@
             store.calls += 1
             size = int(self.headers.get("Content-Length", 0))
             body = json.loads(self.rfile.read(size))
-            if self.is_faulty():
+            if self.apply_faults():
                 return
             with store.lock:
                 result = store.transact(body)
--- a/tests/standins/tests/test_platform.py
+++ b/tests/standins/tests/test_platform.py
@@ -8,7 +8,7 @@
 import unittest
 
 PROGRAM = pathlib.Path(__file__).parents[1] / "platform.py"
-PATIENCE_S = 20
+TIMEOUT_S = 20
 
 
 class PlatformTest(unittest.TestCase):
@@ -26,7 +26,7 @@
         headers = {name.replace("_", "-"): value
                    for name, value in headers.items()}
         connection = http.client.HTTPConnection(
-            "127.0.0.1", self.port, timeout=PATIENCE_S)
+            "127.0.0.1", self.port, timeout=TIMEOUT_S)
         try:
             text = None if body is None else json.dumps(body)
             connection.request(method, path, text, headers)
@@ -68,7 +68,7 @@
         self.assertEqual(self.call("PUT", "/table/k", {"n": 2})[0], 200)
         self.assertEqual(self.call("GET", "/control")[1]["lost_acks"], 1)
 
-    def test_stale_reads_answer_the_value_before(self):
+    def test_stale_reads_answer_the_previous_value(self):
         _, _, first = self.call("PUT", "/objects/k", {"n": 1})
         self.call("PUT", "/objects/k", {"n": 2})
         self.call("PUT", "/objects/new", {"n": 1})
@@ -79,7 +79,7 @@
         self.control(stale_reads=False)
         self.assertEqual(self.call("GET", "/objects/k")[1], {"n": 2})
 
-    def test_down_closes_and_writes_nothing(self):
+    def test_down_closes_connections_and_writes_nothing(self):
         self.control(down=True)
         with self.assertRaises(ConnectionError):
             self.call("PUT", "/table/k", {"n": 1})
@@ -91,7 +91,7 @@
     def test_frozen_request_is_never_served(self):
         self.control(freeze=True)
         connection = http.client.HTTPConnection(
-            "127.0.0.1", self.port, timeout=PATIENCE_S)
+            "127.0.0.1", self.port, timeout=TIMEOUT_S)
         connection.request("PUT", "/table/k", "{}")
         while self.call("GET", "/control")[1]["frozen"] == 0:
             pass
@@ -110,7 +110,7 @@
         counts = self.call("GET", "/control")[1]
         self.assertEqual((counts["reads"], counts["writes"]), (1, 1))
 
-    def test_wrong_input_is_refused(self):
+    def test_invalid_input_is_refused(self):
         self.assertEqual(self.call("PUT", "/control", {"delay": 1})[0], 400)
         self.assertEqual(self.call("GET", "/table/a%20b")[0], 404)
         self.assertEqual(self.call("GET", "/nothing")[0], 404)
--- a/tests/standins/workers.py
+++ b/tests/standins/workers.py
@@ -1,26 +1,29 @@
 """Stand-ins for backend servers as the users' platform describes them.
 
-A `Worker` listens on a loopback port, checks the named target, runs requests
-in its slots and marks its answers with a seal. It runs on threads of the
-test's own process and remembers what it ran. Behaviour is set by attributes:
-
-    work_s       how long a request takes
-    works        seconds that requests for these targets take instead
-    pad          bytes that answers have behind their text
-    pads         bytes that answers for these targets have instead
-    forget_s     a connection that rests longer is reset by its next request
-    held         an Event: requests wait for it as long as it is not set
-    poison       targets of requests that crash the server as they begin: it
-                 resets all connections and takes none for down_s
-    faults       list of faults, one taken by each request that runs:
+A `Worker` listens on a loopback port, rejects requests addressed to another
+server (421), runs the others in its slots and seals the answers of those.
+It runs on threads of the test's own process and records what it ran.
+Behaviour is set by attributes:
+
+    work_s       service time of a request, seconds
+    works        service times by target, in place of work_s
+    pad          bytes appended to each answer's text
+    pads         such bytes by target, in place of pad
+    forget_s     a connection idle for longer is reset by its next request
+    held         threading.Event: running requests wait until it is set
+    poison       targets whose requests crash the server when they start: it
+                 resets all connections and accepts none for down_s
+    faults       list of faults; each request for this server consumes the
+                 first one:
                  "shed"       503, not executed
                  "cut"        runs, then closes without an answer
-                 "late-extra" answers, then sends one more answer later
-                 "half"       an answer without a length, reset halfway
-                 "unframed"   an answer without a length, closed in order
+                 "late-extra" answers, and 100 ms later sends an unsolicited
+                              second answer
+                 "half"       an answer without a length, reset in its body
+                 "unframed"   an answer without a length, ended by the close
                  "early"      a final answer before the body is read
                  "unsealed"   a success without a seal
-                 "error"      a 500 of its own, after it has run
+                 "error"      a 500 with a seal, after the run
 """
 
 import socket
@@ -45,7 +48,7 @@
         self.headers = headers
         self.body = body
         self.id = headers.get(ID.lower(), "")
-        self.ended_at = None  # the work, not the answer
+        self.ended_at = None  # end of the run, before the answer is sent
 
 
 class Worker:
@@ -67,9 +70,9 @@
         self.on_crash = lambda: None
         self.connections = set()
         self.lock = threading.Lock()
-        self.ran = []        # Request, in the order in which they began
-        self.refused = []    # ids that another server was meant to get
-        self.left = []       # ids whose caller closed while they ran
+        self.ran = []        # Request, in the order of their start
+        self.refused = []    # ids of requests addressed to another server
+        self.left = []       # ids whose caller disconnected while they ran
         self.running = 0
         self.listener = socket.create_server(("127.0.0.1", 0), backlog=64)
         self.port = self.listener.getsockname()[1]
@@ -108,7 +111,7 @@
             headers[name.lower()] = value.strip()
 
     def crash(self):
-        """No connection survives it, and none is taken until it is back."""
+        """Resets all connections and accepts none until the restart."""
         self.crashes += 1
         self.on_crash()
         self.listener.shutdown(socket.SHUT_RDWR)
@@ -122,18 +125,18 @@
                 connection.shutdown(socket.SHUT_RD)
                 connection.close()
             except OSError:
-                pass  # its own thread was quicker
+                pass  # already closed by its own thread
 
-        def start_again():
+        def restart():
             time.sleep(self.down_s)
             self.listener = socket.create_server(("127.0.0.1", self.port),
                                                  backlog=64)
             self.accept()
-        threading.Thread(target=start_again, daemon=True).start()
+        threading.Thread(target=restart, daemon=True).start()
 
     def serve(self, connection):
         reader = connection.makefile("rb")
-        rested = False
+        is_reused = False
         with self.lock:
             self.connections.add(connection)
         try:
@@ -142,11 +145,11 @@
                 head = self.read_head(reader)
                 if head is None:
                     return
-                if self.forget_s is not None and rested and \
+                if self.forget_s is not None and is_reused and \
                         time.monotonic() - began > self.forget_s:
                     reset(connection)
                     return
-                rested = True
+                is_reused = True
                 if not self.handle(connection, reader, *head):
                     return
         except OSError:
@@ -157,7 +160,7 @@
             connection.close()
 
     def handle(self, connection, reader, method, target, headers):
-        """False when the connection has ended."""
+        """Serves one request; false if the connection is to be closed."""
         if headers.get("x-sassafrassill-target-instance") != self.name:
             reader.read(int(headers.get("content-length", 0)))
             self.refused.append(headers.get(ID.lower(), ""))
