--- a/tools/emulate.c
+++ b/tools/emulate.c
@@ -1,16 +1,14 @@
-/* emulate - the decisions on a request against a model of backend servers,
- * without a network.
+/* emulate - discrete-event simulation of placement and admission.
  *
- * Entry VMs, each with its own view of the fleet, send requests by the core's
- * own functions (owner, admit, traffic). The model of a server: slots, a queue
- * that sheds, a memory of the last objects that it handled, a time for new and
- * one for known objects, a phase in which some servers are slow. The network
- * is a delay within and between regions.
+ * Simulated entry VMs, each with its own model of the fleet, place requests
+ * with the core's own functions (owner, admission, traffic). A simulated
+ * backend server has slots, a bounded queue, an LRU cache of objects, one
+ * service time for uncached and one for cached objects, and a phase in which
+ * it is slow. The network is a fixed delay within and between regions.
  *
- * What it leaves out: crashes, connections, bodies, cold servers, stores,
- * configuration, callers that come back. It tells which policy leads and
- * where queues stand, not the worth of a day: docs/MEASURED.md has how far it
- * was from measured days.
+ * Not simulated: crashes, connections, bodies, cold servers, stores,
+ * configuration and callers that retry. Use it to compare policies and to find
+ * queues; docs/MEASURED.md states how far its figures are from measured runs.
  *
  * Times are milliseconds. The same options give the same output.
  */
@@ -30,42 +28,42 @@
 #define ZONES 6
 #define VMS 6
 #define MAX_SERVERS 400
-#define QUEUE 9
-#define LOCAL_MS 2.0
-#define REMOTE_MS 22.0
+#define MAX_QUEUE 9    /* requests that may wait at a server */
+#define LOCAL_MS 2.0   /* one-way delay within a region */
+#define REMOTE_MS 22.0 /* one-way delay between regions */
 #define WINDOW_MS (2000.0 * options.scale)
 #define MAX_WINDOWS 200
-#define KNOWN_FACTOR 0.3
-#define SPREAD 0.15
+#define CACHED_FACTOR 0.3   /* on service times of cached objects */
+#define SERVICE_SPREAD 0.15 /* their relative standard deviation */
 
 struct options {
-    double rate; /* requests a second, all regions */
+    double rate; /* requests per second, all regions */
     double seconds;
-    double work_ms;
-    double goal_ms;
-    double limit_ms;
-    int slots;    /* of a server */
-    double scale; /* of all times of the load */
-    int objects;  /* a region */
-    int memory;   /* objects that a server remembers */
+    double service_ms; /* service time of an uncached object */
+    double objective_ms;
+    double timeout_ms;
+    int slots;      /* of a server */
+    double scale;   /* factor on all times of the load */
+    int objects;    /* per region */
+    int cache_size; /* of a server, in objects */
     double slow_share;
     double slow_factor;
     double slow_from_s;
     double slow_for_s;
     int seed;
-    char *policy; /* owner: as the product does; any: least load of all */
+    char *policy; /* owner (the product's, default) or any (least load) */
 };
 
 static struct options options = {
     .rate = 348,
     .seconds = 20,
-    .work_ms = 240,
-    .goal_ms = 250,
-    .limit_ms = 1000,
+    .service_ms = 240,
+    .objective_ms = 250,
+    .timeout_ms = 1000,
     .slots = 3,
     .scale = 1,
     .objects = 87,
-    .memory = 43,
+    .cache_size = 43,
     .slow_factor = 12,
     .slow_from_s = 8,
     .slow_for_s = 8,
@@ -73,15 +71,15 @@
 };
 
 struct request {
-    double came_at;
-    int vm;
+    double arrived_at;
+    int vm; /* its entry VM */
     int region;
     int object;
     int server;
     double sent_at;
     double load_when_sent;
-    bool known;
-    bool over; /* answered or given up */
+    bool cached;  /* expected by the entry VM */
+    bool is_done; /* answered, refused or timed out */
 };
 
 struct server {
@@ -89,22 +87,22 @@
     int region;
     int zone;
     int running;
-    GQueue waiting; /* struct request * */
-    GQueue known;   /* objects, the latest first */
+    GQueue waiting;        /* struct request * */
+    GQueue cached_objects; /* most recently used first */
     bool slow;
 };
 
 enum event_kind {
-    ARRIVE, /* at an entry VM */
-    REACH,  /* a server */
-    FINISH, /* there */
-    ANSWER, /* back at the entry VM */
-    EXPIRE  /* its limit */
+    ARRIVE, /* the request is at its entry VM */
+    REACH,  /* it is at its server */
+    FINISH, /* the server has run it */
+    ANSWER, /* the answer is at the entry VM */
+    EXPIRE  /* its time limit has passed */
 };
 
 struct event {
     double at;
-    guint64 number; /* ties keep their order */
+    guint64 number; /* orders events of the same time */
     enum event_kind kind;
     struct request *request;
 };
@@ -117,19 +115,20 @@
     int timed_out;
 };
 
-static GRand *randomness;
+static GRand *rng;
 static GSequence *events;
-static GPtrArray *requests; /* all of them, to be released at the end */
+static GPtrArray *requests; /* owns all requests */
 static guint64 event_count;
 static double now_ms;
 static struct server servers[MAX_SERVERS];
 static int server_count;
 static struct sas_fleet *fleets[VMS];
 static struct sas_objects *objects[VMS];
-static struct sas_pace paces[VMS]; /* of the only route */
+static struct sas_pace service_times[VMS]; /* of the only route */
 static struct window windows[MAX_WINDOWS];
 
-/* Hottes: two zones a region, the middle one short of servers. */
+/* Groupe Hottes: two zones per region, too few servers in the middle region.
+ */
 static const int servers_per_zone[ZONES] = {6, 6, 1, 1, 5, 5};
 
 static int
@@ -158,33 +157,36 @@
 static struct window *
 get_window(const struct request *request)
 {
-    int index = (int)(request->came_at / WINDOW_MS);
+    int index = (int)(request->arrived_at / WINDOW_MS);
     return &windows[MIN(index, MAX_WINDOWS - 1)];
 }
 
 /* Servers. */
 
 static double
-draw_work(struct server *server, int object)
+draw_service_ms(struct server *server, int object)
 {
-    GList *found = g_queue_find(&server->known, GINT_TO_POINTER(object));
-    double work = options.work_ms * (found != NULL ? KNOWN_FACTOR : 1);
+    GList *found =
+        g_queue_find(&server->cached_objects, GINT_TO_POINTER(object));
+    double ms = options.service_ms * (found != NULL ? CACHED_FACTOR : 1);
     if (found != NULL) {
-        g_queue_delete_link(&server->known, found);
+        g_queue_delete_link(&server->cached_objects, found);
     }
-    g_queue_push_head(&server->known, GINT_TO_POINTER(object));
-    if ((int)g_queue_get_length(&server->known) > options.memory) {
-        g_queue_pop_tail(&server->known);
+    g_queue_push_head(&server->cached_objects, GINT_TO_POINTER(object));
+    if ((int)g_queue_get_length(&server->cached_objects) >
+        options.cache_size) {
+        g_queue_pop_tail(&server->cached_objects);
     }
-    double spread = 1 + SPREAD * (g_rand_double_range(randomness, -1.7, 1.7));
-    return work * spread * (server->slow ? options.slow_factor : 1);
+    double factor = 1 + SERVICE_SPREAD * (g_rand_double_range(rng, -1.7, 1.7));
+    return ms * factor * (server->slow ? options.slow_factor : 1);
 }
 
 static void
-begin(struct server *server, struct request *request)
+start_run(struct server *server, struct request *request)
 {
     server->running++;
-    schedule(now_ms + draw_work(server, request->object), FINISH, request);
+    schedule(now_ms + draw_service_ms(server, request->object), FINISH,
+             request);
 }
 
 static double
@@ -195,15 +197,15 @@
 }
 
 static void
-reach(struct request *request)
+receive(struct request *request)
 {
     struct server *server = &servers[request->server];
     if (server->running < options.slots) {
-        begin(server, request);
+        start_run(server, request);
         return;
     }
-    if (g_queue_get_length(&server->waiting) >= QUEUE) {
-        request->over = true;
+    if (g_queue_get_length(&server->waiting) >= MAX_QUEUE) {
+        request->is_done = true;
         get_window(request)->refused++;
         SasTraffic_NoteEnded(SasFleet_At(fleets[request->vm], request->server),
                              true, (int64_t)now_ms);
@@ -220,8 +222,8 @@
     schedule(now_ms + get_delay(request), ANSWER, request);
     while (!g_queue_is_empty(&server->waiting)) {
         struct request *next = g_queue_pop_head(&server->waiting);
-        if (!next->over) { /* its caller has not given up */
-            begin(server, next);
+        if (!next->is_done) { /* not timed out in the queue */
+            start_run(server, next);
             return;
         }
     }
@@ -230,34 +232,34 @@
 /* Entry VMs. */
 
 static void
-tell_all(int slot, enum sas_traffic_change change)
+report_to_all(int slot, enum sas_traffic_change change)
 {
     if (change == SAS_TRAFFIC_SAME) {
         return;
     }
-    int tester = servers[slot].zone;
+    int prober = servers[slot].zone;
     for (int vm = 0; vm < VMS; vm++) {
         int64_t left_ms =
             change == SAS_TRAFFIC_TRIPPED ? SasTraffic_HOLD_MS : 0;
-        SasTraffic_TakeWord(fleets[vm], slot, left_ms, vm == tester,
+        SasTraffic_TakeWord(fleets[vm], slot, left_ms, vm == prober,
                             (int64_t)now_ms);
     }
 }
 
 static void
-note_run(struct request *request, bool timed_out)
+note_result(struct request *request, bool timed_out)
 {
     struct sas_fleet *fleet = fleets[request->vm];
     struct sas_traffic_end end = {
         .elapsed_ms = now_ms - request->sent_at,
         .load_when_sent = request->load_when_sent,
-        .known = request->known,
+        .known = request->cached,
         .timed_out = timed_out,
     };
     SasTraffic_NoteEnded(SasFleet_At(fleet, request->server), !timed_out,
                          (int64_t)now_ms);
-    tell_all(request->server, SasTraffic_NoteRun(fleet, request->server, &end,
-                                                 (int64_t)now_ms));
+    report_to_all(request->server, SasTraffic_NoteRun(fleet, request->server,
+                                                      &end, (int64_t)now_ms));
 }
 
 static uint64_t
@@ -269,12 +271,12 @@
 }
 
 static void
-note_work(const struct request *request)
+note_service_time(const struct request *request)
 {
     struct sas_fleet *fleet = fleets[request->vm];
     if (SasTraffic_FoundSlot(SasFleet_At(fleet, request->server),
                              request->load_when_sent)) {
-        SasPace_Note(&paces[request->vm], request->known,
+        SasPace_Note(&service_times[request->vm], request->cached,
                      now_ms - request->sent_at);
     }
     SasObjects_NoteAnswered(objects[request->vm], 0, get_key(request),
@@ -284,20 +286,20 @@
 static void
 answer(struct request *request)
 {
-    if (request->over) {
+    if (request->is_done) {
         return;
     }
-    request->over = true;
+    request->is_done = true;
     struct server *server = &servers[request->server];
     struct sas_traffic_report report = {
         .running = server->running,
         .waiting = (int)g_queue_get_length(&server->waiting),
     };
-    note_run(request, false);
-    note_work(request);
+    note_result(request, false);
+    note_service_time(request);
     SasTraffic_NoteReport(fleets[request->vm], request->server, &report,
                           (int64_t)now_ms);
-    if (now_ms - request->came_at <= options.goal_ms) {
+    if (now_ms - request->arrived_at <= options.objective_ms) {
         get_window(request)->in_time++;
     }
     else {
@@ -308,12 +310,12 @@
 static void
 expire(struct request *request)
 {
-    if (request->over) {
+    if (request->is_done) {
         return;
     }
-    request->over = true;
+    request->is_done = true;
     get_window(request)->timed_out++;
-    note_run(request, true);
+    note_result(request, true);
 }
 
 static int
@@ -330,26 +332,27 @@
 }
 
 static int
-judge(struct request *request, const int *slots, int count)
+decide(struct request *request, const int *slots, int count)
 {
     struct sas_admit_query query = {
         .slots = slots,
         .count = count,
         .objects = objects[request->vm],
-        .pace = &paces[request->vm],
+        .pace = &service_times[request->vm],
         .key = get_key(request),
-        .goal_ms = options.goal_ms,
-        .left_ms = options.limit_ms,
+        .goal_ms = options.objective_ms,
+        .left_ms = options.timeout_ms,
     };
-    struct sas_admit_verdict verdict =
+    struct sas_admit_verdict decision =
         SasAdmit_Judge(fleets[request->vm], &query, (int64_t)now_ms);
-    request->known = verdict.known;
-    if (verdict.slot != SasModel_NONE && !verdict.known) {
-        SasObjects_NoteSent(objects[request->vm], 0, get_key(request),
-                            SasFleet_GetRef(fleets[request->vm], verdict.slot),
-                            (int64_t)now_ms);
+    request->cached = decision.known;
+    if (decision.slot != SasModel_NONE && !decision.known) {
+        SasObjects_NoteSent(
+            objects[request->vm], 0, get_key(request),
+            SasFleet_GetRef(fleets[request->vm], decision.slot),
+            (int64_t)now_ms);
     }
-    return verdict.slot;
+    return decision.slot;
 }
 
 static int
@@ -367,7 +370,7 @@
     int slots[SasOwner_MAX_CANDIDATES];
     int count = SasOwner_Rank(fleet, &query, (int64_t)now_ms, slots,
                               SasOwner_MAX_CANDIDATES);
-    return judge(request, slots, count);
+    return decide(request, slots, count);
 }
 
 static void
@@ -376,7 +379,7 @@
     get_window(request)->asked++;
     request->server = pick_server(request);
     if (request->server == SasModel_NONE) {
-        request->over = true;
+        request->is_done = true;
         get_window(request)->refused++;
         return;
     }
@@ -387,7 +390,7 @@
         fleets[request->vm], request->server, (int64_t)now_ms);
     SasTraffic_NoteSent(server, (int64_t)now_ms);
     schedule(now_ms + get_delay(request), REACH, request);
-    schedule(now_ms + options.limit_ms, EXPIRE, request);
+    schedule(now_ms + options.timeout_ms, EXPIRE, request);
 }
 
 /* The run. */
@@ -422,15 +425,15 @@
             server->zone = zone;
             server->region = zone / 2;
             g_queue_init(&server->waiting);
-            g_queue_init(&server->known);
+            g_queue_init(&server->cached_objects);
         }
     }
     for (int vm = 0; vm < VMS; vm++) {
         fleets[vm] = make_fleet();
         objects[vm] = SasObjects_New();
-        SasPace_Init(&paces[vm], options.goal_ms);
+        SasPace_Init(&service_times[vm], options.objective_ms);
         SasPace_SetGoal(&SasFleet_GetService(fleets[vm], 0)->pace,
-                        options.goal_ms);
+                        options.objective_ms);
     }
 }
 
@@ -439,7 +442,7 @@
 {
     for (int i = 0; i < server_count; i++) {
         g_queue_clear(&servers[i].waiting);
-        g_queue_clear(&servers[i].known);
+        g_queue_clear(&servers[i].cached_objects);
     }
     for (int vm = 0; vm < VMS; vm++) {
         SasFleet_Free(fleets[vm]);
@@ -447,7 +450,7 @@
     }
     g_sequence_free(events);
     g_ptr_array_free(requests, TRUE);
-    g_rand_free(randomness);
+    g_rand_free(rng);
     g_free(options.policy);
 }
 
@@ -456,14 +459,13 @@
 {
     double at = 0;
     while (at < options.seconds * 1000) {
-        at += -log(g_rand_double_range(randomness, 1e-9, 1)) * 1000 /
-              options.rate;
+        at += -log(g_rand_double_range(rng, 1e-9, 1)) * 1000 / options.rate;
         struct request *request = g_new0(struct request, 1);
         g_ptr_array_add(requests, request);
-        request->came_at = at;
-        request->vm = g_rand_int_range(randomness, 0, VMS);
+        request->arrived_at = at;
+        request->vm = g_rand_int_range(rng, 0, VMS);
         request->region = request->vm / 2;
-        request->object = g_rand_int_range(randomness, 0, options.objects);
+        request->object = g_rand_int_range(rng, 0, options.objects);
         schedule(at, ARRIVE, request);
     }
 }
@@ -494,7 +496,7 @@
             arrive(event.request);
             break;
         case REACH:
-            reach(event.request);
+            receive(event.request);
             break;
         case FINISH:
             finish(event.request);
@@ -532,15 +534,15 @@
            all.timed_out / asked);
 }
 
-/* The same load in slow motion, or in fast. */
+/* Multiplies all times of the load by options.scale and divides its rate. */
 static void
 scale_times(void)
 {
     options.rate /= options.scale;
     options.seconds *= options.scale;
-    options.work_ms *= options.scale;
-    options.goal_ms *= options.scale;
-    options.limit_ms *= options.scale;
+    options.service_ms *= options.scale;
+    options.objective_ms *= options.scale;
+    options.timeout_ms *= options.scale;
     options.slow_from_s *= options.scale;
     options.slow_for_s *= options.scale;
 }
@@ -550,38 +552,39 @@
 {
     const GOptionEntry entries[] = {
         {"rate", 0, 0, G_OPTION_ARG_DOUBLE, &options.rate,
-         "Requests a second (348)", "N"},
+         "Requests per second (348)", "N"},
         {"seconds", 0, 0, G_OPTION_ARG_DOUBLE, &options.seconds,
-         "How long (20)", "N"},
-        {"work", 0, 0, G_OPTION_ARG_DOUBLE, &options.work_ms,
-         "Time of a request on a new object, ms (240)", "MS"},
-        {"goal", 0, 0, G_OPTION_ARG_DOUBLE, &options.goal_ms,
-         "Answers up to here are in time, ms (250)", "MS"},
-        {"limit", 0, 0, G_OPTION_ARG_DOUBLE, &options.limit_ms,
+         "Length of the run (20)", "N"},
+        {"work", 0, 0, G_OPTION_ARG_DOUBLE, &options.service_ms,
+         "Service time of an uncached object, ms (240)", "MS"},
+        {"goal", 0, 0, G_OPTION_ARG_DOUBLE, &options.objective_ms,
+         "Latency objective, ms (250)", "MS"},
+        {"limit", 0, 0, G_OPTION_ARG_DOUBLE, &options.timeout_ms,
          "Time limit, ms (1000)", "MS"},
         {"slots", 0, 0, G_OPTION_ARG_INT, &options.slots,
-         "Slots of a server (3)", "N"},
+         "Slots per server (3)", "N"},
         {"scale", 0, 0, G_OPTION_ARG_DOUBLE, &options.scale,
-         "All times of the load times so much (1)", "K"},
+         "Factor on all times of the load (1)", "K"},
         {"objects", 0, 0, G_OPTION_ARG_INT, &options.objects,
-         "Objects a region (87)", "N"},
-        {"memory", 0, 0, G_OPTION_ARG_INT, &options.memory,
-         "Objects that a server remembers (43)", "N"},
+         "Objects per region (87)", "N"},
+        {"memory", 0, 0, G_OPTION_ARG_INT, &options.cache_size,
+         "Objects in a server's cache (43)", "N"},
         {"slow-share", 0, 0, G_OPTION_ARG_DOUBLE, &options.slow_share,
-         "Part of the servers that turn slow (0)", "X"},
+         "Share of the servers that become slow, 0 to 1 (0)", "X"},
         {"slow-factor", 0, 0, G_OPTION_ARG_DOUBLE, &options.slow_factor,
-         "By how much (12)", "X"},
+         "Factor on their service times (12)", "X"},
         {"slow-from", 0, 0, G_OPTION_ARG_DOUBLE, &options.slow_from_s,
-         "From this second on (8)", "S"},
+         "Second at which they become slow (8)", "S"},
         {"slow-for", 0, 0, G_OPTION_ARG_DOUBLE, &options.slow_for_s,
-         "For so long (8)", "S"},
-        {"seed", 0, 0, G_OPTION_ARG_INT, &options.seed, "Seed (1)", "N"},
+         "Seconds for which they are slow (8)", "S"},
+        {"seed", 0, 0, G_OPTION_ARG_INT, &options.seed, "Random seed (1)",
+         "N"},
         {"policy", 0, 0, G_OPTION_ARG_STRING, &options.policy,
-         "owner (the product's) or any (least load of all)", "NAME"},
+         "owner (the product's, default) or any (least load)", "NAME"},
         {NULL, 0, 0, G_OPTION_ARG_NONE, NULL, NULL, NULL},
     };
     g_autoptr(GOptionContext) context =
-        g_option_context_new("- replay a load against a model of servers");
+        g_option_context_new("- simulate a load on backend servers");
     g_option_context_add_main_entries(context, entries, NULL);
     g_autoptr(GError) problem = NULL;
     if (!g_option_context_parse(context, &argc, &argv, &problem)) {
@@ -595,7 +598,7 @@
         return 2;
     }
     scale_times();
-    randomness = g_rand_new_with_seed((guint32)options.seed);
+    rng = g_rand_new_with_seed((guint32)options.seed);
     events = g_sequence_new(g_free);
     requests = g_ptr_array_new_with_free_func(g_free);
     set_up();
--- a/tools/read_requests.py
+++ b/tools/read_requests.py
@@ -1,18 +1,19 @@
 #!/usr/bin/python3
-"""Where requests were lost, from the logs of entry VMs.
+"""Summarizes the outcomes of requests from the logs of entry VMs.
 
 Usage: read_requests.py [--window SECONDS] [FILE...]   (or standard input)
 
 Reads the JSON lines of any number of entry VMs in any order; text before the
-first brace of a line is left out. Prints
-
-- how requests ended, by route, with the times of those that were answered
-- the same by window of time
-- for requests that were answered or timed out: how many went to a server that
-  was thought to know the object, how far the expected time was off
-- what became of objects: how many changed their server, and by how much
-  server time was spent on requests that then timed out or were lost
-- backend servers given up, by cause, and lines that were left out
+first brace of a line is ignored. Prints
+
+- outcomes by route, with latency quantiles of the answered requests
+- outcomes by time window
+- for requests that were answered or timed out at the first attempt: how many
+  went to a server that was expected to have cached the object, and by how much
+  they took longer than expected
+- how often objects changed their server, and the server time wasted on
+  requests that timed out or were lost
+- ejections of backend servers by cause, and dropped log lines
 """
 
 import argparse
@@ -21,13 +22,14 @@
 import json
 import sys
 
-THROWN_AWAY = ("timed out", "connection lost", "spoiled answer",
-               "caller left")
+LOST_OUTCOMES = ("timed out", "connection lost", "spoiled answer",
+                 "caller left")
 
 
 def read_lines(files):
-    """The log's lines as dictionaries; what is no line is counted."""
-    lines, odd = [], 0
+    """Returns the log lines as dictionaries, in the order of their time, and
+    the number of invalid lines."""
+    lines, invalid = [], 0
     for file in files:
         for text in file:
             start = text.find("{")
@@ -38,15 +40,15 @@
                 line["at"] = datetime.datetime.fromisoformat(
                     line["time"].replace("Z", "+00:00")).timestamp()
             except (ValueError, KeyError, TypeError, AttributeError):
-                odd += 1
+                invalid += 1
                 continue
             lines.append(line)
     lines.sort(key=lambda line: line["at"])
-    return lines, odd
+    return lines, invalid
 
 
-def pick_quantile(sorted_values, part):
-    return sorted_values[int(part * (len(sorted_values) - 1))]
+def pick_quantile(sorted_values, share):
+    return sorted_values[int(share * (len(sorted_values) - 1))]
 
 
 def describe_times(values):
@@ -54,7 +56,7 @@
         return ""
     values = sorted(values)
     return "p50 %d, p90 %d, p99 %d ms" % tuple(
-        pick_quantile(values, part) for part in (0.5, 0.9, 0.99))
+        pick_quantile(values, share) for share in (0.5, 0.9, 0.99))
 
 
 def describe_counts(counts):
@@ -89,19 +91,21 @@
 
 
 def print_expectations(requests):
-    print("expected and found")
+    print("time taken against the expected time")
     sent = [line for line in requests if line.get("tried") == 1 and
             line["outcome"] in ("answered", "timed out") and "work_ms" in line]
     for known in (True, False):
         lines = [line for line in sent if line["known"] == known]
-        off = sorted(line["took_ms"] - line["wait_ms"] - line["work_ms"]
-                     for line in lines)
-        if off:
+        excess_ms = sorted(
+            line["took_ms"] - line["wait_ms"] - line["work_ms"]
+            for line in lines)
+        if excess_ms:
             print("  object %s to the server: %d, of them timed out %d; "
                   "longer than expected by p50 %d, p90 %d ms" %
                   ("known" if known else "new", len(lines),
                    sum(line["outcome"] == "timed out" for line in lines),
-                   pick_quantile(off, 0.5), pick_quantile(off, 0.9)))
+                   pick_quantile(excess_ms, 0.5),
+                   pick_quantile(excess_ms, 0.9)))
 
 
 def print_objects(requests):
@@ -114,36 +118,37 @@
         moved += servers.get(key, line["peer"]) != line["peer"]
         servers[key] = line["peer"]
     wasted_ms = sum(line["took_ms"] for line in requests
-                    if line["outcome"] in THROWN_AWAY and line["tried"] > 0)
-    print("objects: %d (by entry VM), %d times at another server than before"
-          % (len(servers), moved))
-    print("server time spent for nothing: at most %.1f s" % (wasted_ms / 1000))
+                    if line["outcome"] in LOST_OUTCOMES and line["tried"] > 0)
+    print("objects: %d (per entry VM), %d changes of server" %
+          (len(servers), moved))
+    print("server time wasted on lost requests: at most %.1f s" %
+          (wasted_ms / 1000))
 
 
 def print_servers(lines):
     causes = collections.Counter(line.get("cause", "") for line in lines
                                  if line["step"] == "server.tripped")
-    print("servers given up: %s" % (describe_counts(causes) or "none"))
+    print("servers ejected: %s" % (describe_counts(causes) or "none"))
     dropped = sum(line.get("lines", 0) for line in lines
                   if line["step"] == "log.dropped")
     if dropped:
-        print("lines left out by the entry VMs: %d" % dropped)
+        print("lines dropped by the entry VMs: %d" % dropped)
 
 
 def main():
     parser = argparse.ArgumentParser(
-        description="Where requests were lost, from logs of entry VMs.")
+        description="Summarizes outcomes of requests from entry VM logs.")
     parser.add_argument("--window", type=float, default=2.0,
-                        help="seconds of a window (2)")
+                        help="length of a time window in seconds (2)")
     parser.add_argument("files", nargs="*", type=argparse.FileType("r"),
                         default=[sys.stdin])
     options = parser.parse_args()
     if options.window <= 0:
         parser.error("--window must be above 0")
-    lines, odd = read_lines(options.files)
+    lines, invalid = read_lines(options.files)
     requests = [line for line in lines if line.get("step") == "request"]
-    if odd:
-        print("%d lines that are no log lines" % odd, file=sys.stderr)
+    if invalid:
+        print("%d lines are not log lines" % invalid, file=sys.stderr)
     if not requests:
         print("no requests in these logs", file=sys.stderr)
         return 1
--- a/tools/tests/test_read_requests.py
+++ b/tools/tests/test_read_requests.py
@@ -1,5 +1,5 @@
 #!/usr/bin/python3
-"""The reader of entry VMs' logs: what it counts, and what it leaves out."""
+"""Tests of read_requests.py: its counts, and the lines that it ignores."""
 
 import json
 import os
@@ -35,29 +35,29 @@
         self.assertIn("2.0 s: owner full 1", text)
         self.assertIn("object new to the server: 1, of them timed out 1",
                       text)
-        self.assertIn("for nothing: at most 1.5 s", text)
+        self.assertIn("wasted on lost requests: at most 1.5 s", text)
 
-    def test_objects_that_change_their_server_are_counted(self):
+    def test_objects_that_change_server_are_counted(self):
         lines = [make_request(i, "answered", peer=peer)
                  for i, peer in enumerate(("s1", "s1", "s2", "s1"))]
         text = run([json.dumps(line) for line in lines]).stdout
-        self.assertIn("objects: 1 (by entry VM), 2 times at another", text)
+        self.assertIn("objects: 1 (per entry VM), 2 changes of server", text)
 
-    def test_trips_and_dropped_lines_are_told(self):
+    def test_ejections_and_dropped_lines_are_counted(self):
         lines = [make_request(1, "answered"),
                  {"time": "2026-05-19T02:00:02.000Z", "step":
                   "server.tripped", "cause": "timed out"},
                  {"time": "2026-05-19T02:00:02.000Z", "step": "log.dropped",
                   "lines": 12}]
         text = run([json.dumps(line) for line in lines]).stdout
-        self.assertIn("servers given up: timed out 1", text)
-        self.assertIn("left out by the entry VMs: 12", text)
+        self.assertIn("servers ejected: timed out 1", text)
+        self.assertIn("dropped by the entry VMs: 12", text)
 
-    def test_what_is_no_line_is_named_and_hurts_nothing(self):
+    def test_invalid_lines_are_counted_and_ignored(self):
         result = run(["{not json", json.dumps(make_request(1, "answered")),
                       '{"step": "request"}', "plain text"])
         self.assertEqual(result.returncode, 0)
-        self.assertIn("2 lines that are no log lines", result.stderr)
+        self.assertIn("2 lines are not log lines", result.stderr)
         empty = run([])
         self.assertEqual(empty.returncode, 1)
         self.assertIn("no requests", empty.stderr)
