--- a/tools/bench_gossip.c
+++ b/tools/bench_gossip.c
@@ -1,9 +1,10 @@
-/* bench_gossip - what gossip costs and how fast it is, with the core's own
- * functions for each decision and the real size of each message.
+/* bench_gossip - cost and speed of gossip, with the core's own functions for
+ * each decision and the real size of each message.
  *
- * Nodes are membership tables; a message takes a fixed delay. It plays: all
- * tables full, a settling time, then a new version at one node, then the
- * silent death of one node. Times are simulated; CPU time is measured.
+ * Simulates membership tables that exchange messages with a fixed delay: all
+ * tables start complete; after a warm-up one node adopts a new version, then
+ * some nodes crash. Times are simulated; --cpu measures CPU time per message,
+ * --live runs real peer tasks on loopback sockets.
  */
 #include <arpa/inet.h>
 #include <math.h>
@@ -22,21 +23,21 @@
 
 enum event_kind {
     EVENT_ROUND,
-    EVENT_RUMOR,
-    EVENT_CALL,
+    EVENT_EXTRA_ROUND,
+    EVENT_PING,
     EVENT_REPLY,
     EVENT_FETCHED,
-    EVENT_SILENCE
+    EVENT_TIMEOUT
 };
 
 struct event {
     int64_t at_ms;
     enum event_kind kind;
     int node;
-    int other;
+    int peer;
     uint64_t version;
-    int count;
-    struct sas_member_news *news;
+    int update_count;
+    struct sas_member_news *updates;
 };
 
 struct node {
@@ -44,9 +45,9 @@
     uint64_t version;
     bool alive;
     bool fetching;
-    bool rumor_waiting;
+    bool extra_round_pending;
     double tokens;
-    int64_t tokens_ms;
+    int64_t refilled_ms;
     int64_t adopted_ms;
 };
 
@@ -56,30 +57,37 @@
 static gint fanout;
 static gint budgets = 16;
 static gint loads = 8;
-static gint settle_s = 120;
-static gboolean no_rumors;
+static gint warmup_s = 120;
+static gboolean no_extra_rounds;
 static gboolean measure_cpu;
 static gint live_s;
 static gint death_count = 1;
 
 static GOptionEntry entries[] = {
     {"nodes", 'n', 0, G_OPTION_ARG_INT, &node_count, "entry VMs", "N"},
-    {"seed", 's', 0, G_OPTION_ARG_INT, &seed, "of the random numbers", "N"},
-    {"delay", 'd', 0, G_OPTION_ARG_INT, &delay_ms, "one way", "MS"},
-    {"fanout", 'f', 0, G_OPTION_ARG_INT, &fanout, "0: the core's", "N"},
-    {"budgets", 'b', 0, G_OPTION_ARG_INT, &budgets, "in a message", "N"},
-    {"loads", 'l', 0, G_OPTION_ARG_INT, &loads, "in a message", "N"},
-    {"settle", 't', 0, G_OPTION_ARG_INT, &settle_s, "before it starts", "S"},
-    {"no-rumors", 'r', 0, G_OPTION_ARG_NONE, &no_rumors, "rounds only", NULL},
-    {"cpu", 'c', 0, G_OPTION_ARG_NONE, &measure_cpu, "CPU a message", NULL},
-    {"deaths", 0, 0, G_OPTION_ARG_INT, &death_count, "at once", "N"},
-    {"live", 0, 0, G_OPTION_ARG_INT, &live_s, "real sockets, for so long",
-     "S"},
+    {"seed", 's', 0, G_OPTION_ARG_INT, &seed, "random seed", "N"},
+    {"delay", 'd', 0, G_OPTION_ARG_INT, &delay_ms, "one-way message delay",
+     "MS"},
+    {"fanout", 'f', 0, G_OPTION_ARG_INT, &fanout,
+     "peers per round; 0: the core's value", "N"},
+    {"budgets", 'b', 0, G_OPTION_ARG_INT, &budgets, "budgets in a message",
+     "N"},
+    {"loads", 'l', 0, G_OPTION_ARG_INT, &loads, "loads in a message", "N"},
+    {"settle", 't', 0, G_OPTION_ARG_INT, &warmup_s,
+     "warm-up before the measurement", "S"},
+    {"no-rumors", 'r', 0, G_OPTION_ARG_NONE, &no_extra_rounds,
+     "no extra rounds after a change", NULL},
+    {"cpu", 'c', 0, G_OPTION_ARG_NONE, &measure_cpu,
+     "only measure CPU time per message", NULL},
+    {"deaths", 0, 0, G_OPTION_ARG_INT, &death_count,
+     "nodes that crash at once", "N"},
+    {"live", 0, 0, G_OPTION_ARG_INT, &live_s,
+     "run real peer tasks on loopback sockets instead", "S"},
     {NULL, 0, 0, 0, NULL, NULL, NULL},
 };
 
 static struct node *nodes;
-static GSequence *queue;
+static GSequence *event_queue;
 static GRand *rng;
 static int64_t now_ms;
 static uint64_t message_count;
@@ -89,7 +97,7 @@
 /* Messages */
 
 static struct sas_proto_message
-make_gossip(struct sas_rpc_seat *seats, int count)
+make_gossip(struct sas_rpc_seat *members, int count)
 {
     static struct sas_rpc_budget budget_rows[SAS_RPC_MAX_BUDGETS];
     static struct sas_rpc_load load_rows[SAS_RPC_MAX_LOADS];
@@ -100,7 +108,7 @@
     gossip->loads.loads_len = (u_int)loads;
     gossip->loads.loads_val = load_rows;
     gossip->seats.seats_len = (u_int)count;
-    gossip->seats.seats_val = seats;
+    gossip->seats.seats_val = members;
     return message;
 }
 
@@ -114,17 +122,17 @@
     return key;
 }
 
-/* Bytes of a gossip record with so many seats. */
+/* Size of a gossip record with count member updates, bytes. */
 static size_t
 get_record_size(int count)
 {
     static size_t sizes[SasMembership_DIGEST_SEATS + 1];
     if (sizes[count] == 0) {
-        struct sas_rpc_seat seats[SasMembership_DIGEST_SEATS];
+        struct sas_rpc_seat members[SasMembership_DIGEST_SEATS];
         struct sas_proto_session session;
-        memset(seats, 0, sizeof(seats));
+        memset(members, 0, sizeof(members));
         memset(&session, 0, sizeof(session));
-        struct sas_proto_message message = make_gossip(seats, count);
+        struct sas_proto_message message = make_gossip(members, count);
         g_free(SasProto_Encode(get_key(), &session, &message, &sizes[count],
                                NULL));
     }
@@ -143,14 +151,14 @@
 }
 
 static struct event *
-schedule(int64_t wait_ms, enum event_kind kind, int node, int other)
+schedule(int64_t wait_ms, enum event_kind kind, int node, int peer)
 {
     struct event *event = g_new0(struct event, 1);
     event->at_ms = now_ms + wait_ms;
     event->kind = kind;
     event->node = node;
-    event->other = other;
-    g_sequence_insert_sorted(queue, event, compare_events, NULL);
+    event->peer = peer;
+    g_sequence_insert_sorted(event_queue, event, compare_events, NULL);
     return event;
 }
 
@@ -159,73 +167,74 @@
 {
     struct node *node = &nodes[from];
     struct event *event = schedule(delay_ms, kind, to, from);
-    event->news = g_new(struct sas_member_news, SasMembership_DIGEST_SEATS);
-    event->count = SasMembership_FillDigest(
-        &node->table, rng, now_ms, event->news, SasMembership_DIGEST_SEATS);
+    event->updates = g_new(struct sas_member_news, SasMembership_DIGEST_SEATS);
+    event->update_count = SasMembership_FillDigest(
+        &node->table, rng, now_ms, event->updates, SasMembership_DIGEST_SEATS);
     event->version = node->version;
     message_count++;
-    byte_count += get_record_size(event->count);
+    byte_count += get_record_size(event->update_count);
 }
 
 static void
-exchange(int from, int to)
+ping(int from, int to)
 {
     if (nodes[to].alive) {
-        send_gossip(from, to, EVENT_CALL);
+        send_gossip(from, to, EVENT_PING);
     }
     else {
-        schedule(TIMEOUT_MS, EVENT_SILENCE, from, to);
+        schedule(TIMEOUT_MS, EVENT_TIMEOUT, from, to);
     }
 }
 
 static void
-exchange_with_some(int from, int count)
+ping_random_peers(int from, int count)
 {
-    int seats[SasPeer_MAX_CALLS];
+    int peers[SasPeer_MAX_CALLS];
     count =
-        SasMembership_PickPeers(&nodes[from].table, rng, now_ms, seats, count);
+        SasMembership_PickPeers(&nodes[from].table, rng, now_ms, peers, count);
     for (int i = 0; i < count; i++) {
-        exchange(from, seats[i]);
+        ping(from, peers[i]);
     }
 }
 
-/* The same token rule as the peer task's. */
+/* Token bucket for extra rounds, as in the peer task. */
 static void
-note_change(int at)
+schedule_extra_round(int at)
 {
     struct node *node = &nodes[at];
-    if (no_rumors || node->rumor_waiting) {
+    if (no_extra_rounds || node->extra_round_pending) {
         return;
     }
-    node->tokens += 0.5 * (double)(now_ms - node->tokens_ms) /
+    node->tokens += 0.5 * (double)(now_ms - node->refilled_ms) /
                     (double)node->table.times.interval_ms;
     node->tokens = MIN(node->tokens, SasPeer_RUMOR_BURST);
-    node->tokens_ms = now_ms;
+    node->refilled_ms = now_ms;
     if (node->tokens >= 1) {
         node->tokens -= 1;
-        node->rumor_waiting = true;
-        schedule(0, EVENT_RUMOR, at, 0);
+        node->extra_round_pending = true;
+        schedule(0, EVENT_EXTRA_ROUND, at, 0);
     }
 }
 
 static void
-take_gossip(const struct event *event)
+apply_gossip(const struct event *event)
 {
     struct node *node = &nodes[event->node];
     int changes = 0;
-    for (int i = 0; i < event->count; i++) {
-        changes |= SasMembership_Merge(&node->table, &event->news[i], now_ms);
+    for (int i = 0; i < event->update_count; i++) {
+        changes |=
+            SasMembership_Merge(&node->table, &event->updates[i], now_ms);
     }
     SasMembership_NoteDirect(
-        &node->table, event->other,
-        nodes[event->other].table.members[event->other].incarnation, now_ms);
+        &node->table, event->peer,
+        nodes[event->peer].table.members[event->peer].incarnation, now_ms);
     if ((changes & SAS_CHANGE_MEMBER) != 0) {
-        note_change(event->node);
+        schedule_extra_round(event->node);
     }
     if (event->version > node->version && !node->fetching) {
         node->fetching = true;
         fetch_count++;
-        schedule(2 * delay_ms, EVENT_FETCHED, event->node, event->other)
+        schedule(2 * delay_ms, EVENT_FETCHED, event->node, event->peer)
             ->version = event->version;
     }
 }
@@ -238,11 +247,11 @@
     node->version = version;
     node->adopted_ms = now_ms;
     SasMembership_SetVersion(&node->table, version);
-    note_change(at);
+    schedule_extra_round(at);
 }
 
 static void
-play_event(const struct event *event)
+handle_event(const struct event *event)
 {
     struct node *node = &nodes[event->node];
     if (!node->alive) {
@@ -251,47 +260,47 @@
     switch (event->kind) {
     case EVENT_ROUND:
         SasMembership_Beat(&node->table, now_ms);
-        exchange_with_some(event->node, node->table.times.fanout);
+        ping_random_peers(event->node, node->table.times.fanout);
         schedule(node->table.times.interval_ms, EVENT_ROUND, event->node, 0);
         break;
-    case EVENT_RUMOR:
-        node->rumor_waiting = false;
-        exchange_with_some(event->node, SasPeer_RUMOR_FANOUT);
+    case EVENT_EXTRA_ROUND:
+        node->extra_round_pending = false;
+        ping_random_peers(event->node, SasPeer_RUMOR_FANOUT);
         break;
-    case EVENT_CALL:
-        take_gossip(event);
-        send_gossip(event->node, event->other, EVENT_REPLY);
+    case EVENT_PING:
+        apply_gossip(event);
+        send_gossip(event->node, event->peer, EVENT_REPLY);
         break;
     case EVENT_REPLY:
-        take_gossip(event);
+        apply_gossip(event);
         break;
     case EVENT_FETCHED:
         adopt(event->node, event->version);
         break;
-    case EVENT_SILENCE:
-        if (SasMembership_NoteSilence(&node->table, event->other, now_ms)) {
-            note_change(event->node);
+    case EVENT_TIMEOUT:
+        if (SasMembership_NoteSilence(&node->table, event->peer, now_ms)) {
+            schedule_extra_round(event->node);
         }
-        else if (SasMembership_MayRetry(&node->table, event->other)) {
-            exchange(event->node, event->other);
+        else if (SasMembership_MayRetry(&node->table, event->peer)) {
+            ping(event->node, event->peer);
         }
         break;
     }
 }
 
 static void
-play_until(int64_t end_ms)
+run_until(int64_t end_ms)
 {
-    while (!g_sequence_is_empty(queue)) {
-        GSequenceIter *first = g_sequence_get_begin_iter(queue);
+    while (!g_sequence_is_empty(event_queue)) {
+        GSequenceIter *first = g_sequence_get_begin_iter(event_queue);
         struct event *event = g_sequence_get(first);
         if (event->at_ms > end_ms) {
             break;
         }
         now_ms = event->at_ms;
         g_sequence_remove(first);
-        play_event(event);
-        g_free(event->news);
+        handle_event(event);
+        g_free(event->updates);
         g_free(event);
     }
     now_ms = end_ms;
@@ -303,7 +312,7 @@
 start_nodes(void)
 {
     nodes = g_new0(struct node, node_count);
-    queue = g_sequence_new(NULL);
+    event_queue = g_sequence_new(NULL);
     rng = g_rand_new_with_seed((guint32)seed);
     for (int i = 0; i < node_count; i++) {
         struct node *node = &nodes[i];
@@ -313,11 +322,11 @@
         }
         node->alive = true;
         node->adopted_ms = NEVER_MS;
-        for (int seat = 0; seat < node_count; seat++) {
+        for (int member_id = 0; member_id < node_count; member_id++) {
             struct sas_member_news news = {
-                .seat = seat, .incarnation = 1000, .heartbeat = 1};
+                .seat = member_id, .incarnation = 1000, .heartbeat = 1};
             SasMembership_Merge(&node->table, &news, 0);
-            node->table.members[seat].sends_left = 0;
+            node->table.members[member_id].sends_left = 0;
         }
         int interval = (int)node->table.times.interval_ms;
         schedule(g_rand_int_range(rng, 0, interval), EVENT_ROUND, i, 0);
@@ -332,17 +341,17 @@
     }
     g_free(nodes);
     g_rand_free(rng);
-    play_until(-1);
-    for (GSequenceIter *at = g_sequence_get_begin_iter(queue);
+    run_until(-1);
+    for (GSequenceIter *at = g_sequence_get_begin_iter(event_queue);
          !g_sequence_iter_is_end(at); at = g_sequence_iter_next(at)) {
         struct event *event = g_sequence_get(at);
-        g_free(event->news);
+        g_free(event->updates);
         g_free(event);
     }
-    g_sequence_free(queue);
+    g_sequence_free(event_queue);
 }
 
-/* Figures */
+/* Results */
 
 static int
 compare_times(const void *a, const void *b)
@@ -358,24 +367,25 @@
     size_t count = (size_t)node_count * (size_t)node_count;
     g_autofree int64_t *ages = g_new(int64_t, count);
     size_t used = 0;
-    int suspects = 0;
+    int suspected_count = 0;
     for (int i = 0; i < node_count; i++) {
-        for (int seat = 0; seat < node_count; seat++) {
+        for (int member_id = 0; member_id < node_count; member_id++) {
             const struct sas_membership *table = &nodes[i].table;
-            if (seat == i) {
+            if (member_id == i) {
                 continue;
             }
-            ages[used++] = SasMembership_GetAge(table, seat, now_ms);
-            suspects +=
-                SasMembership_GetState(table, seat, now_ms) != SAS_MEMBER_LIVE;
+            ages[used++] = SasMembership_GetAge(table, member_id, now_ms);
+            suspected_count +=
+                SasMembership_GetState(table, member_id, now_ms) !=
+                SAS_MEMBER_LIVE;
         }
     }
     qsort(ages, used, sizeof(*ages), compare_times);
-    printf("  ages ms: p50 %ld p99 %ld max %ld; suspect at %ld; "
+    printf("  ages ms: p50 %ld p99 %ld max %ld; suspected at %ld; "
            "wrongly suspected pairs %d of %zu\n",
            (long)ages[used / 2], (long)ages[used * 99 / 100],
            (long)ages[used - 1], (long)nodes[0].table.times.suspect_ms,
-           suspects, used);
+           suspected_count, used);
 }
 
 static void
@@ -388,7 +398,7 @@
     qsort(times, (size_t)node_count, sizeof(*times), compare_times);
     int64_t last = times[node_count - 1];
     if (last == NEVER_MS) {
-        printf("  version: not everywhere\n");
+        printf("  version: not adopted by all nodes\n");
         return;
     }
     printf("  version in force after ms: p50 %ld p99 %ld all %ld "
@@ -400,23 +410,24 @@
                (double)nodes[0].table.times.interval_ms);
 }
 
-/* Pairs of a living and a dead node in which the living one knows. */
+/* Counts the pairs of a live and a crashed node where the live node's table
+ * has the crashed one in the given state or as dead. */
 static int64_t
-count_known(enum sas_member_state least)
+count_detected(enum sas_member_state wanted)
 {
-    int64_t known = 0;
+    int64_t detected = 0;
     for (int i = 0; i < node_count; i++) {
         for (int dead = 0; nodes[i].alive && dead < node_count; dead++) {
             enum sas_member_state state =
                 SasMembership_GetState(&nodes[i].table, dead, now_ms);
-            known += !nodes[dead].alive &&
-                     (state == SAS_MEMBER_GONE || state == least);
+            detected += !nodes[dead].alive &&
+                        (state == SAS_MEMBER_GONE || state == wanted);
         }
     }
-    return known;
+    return detected;
 }
 
-/* How long until the living hold the dead for suspect, and for gone. */
+/* Time until the live nodes suspect the crashed ones and declare them dead. */
 static void
 report_deaths(void)
 {
@@ -430,21 +441,21 @@
     }
     message_count = 0;
     byte_count = 0;
-    while (count_known(SAS_MEMBER_GONE) < pairs &&
+    while (count_detected(SAS_MEMBER_GONE) < pairs &&
            now_ms - start_ms < 600000) {
-        play_until(now_ms + 100);
-        int64_t known = count_known(SAS_MEMBER_SUSPECT);
+        run_until(now_ms + 100);
+        int64_t detected = count_detected(SAS_MEMBER_SUSPECT);
         int64_t passed_ms = now_ms - start_ms;
-        half_ms = half_ms < 0 && known * 2 >= pairs ? passed_ms : half_ms;
+        half_ms = half_ms < 0 && detected * 2 >= pairs ? passed_ms : half_ms;
         most_ms =
-            most_ms < 0 && known * 100 >= pairs * 99 ? passed_ms : most_ms;
-        all_ms = all_ms < 0 && known == pairs ? passed_ms : all_ms;
+            most_ms < 0 && detected * 100 >= pairs * 99 ? passed_ms : most_ms;
+        all_ms = all_ms < 0 && detected == pairs ? passed_ms : all_ms;
     }
     double node_seconds =
         (double)(now_ms - start_ms) / 1000 * (node_count - death_count);
-    printf("  %d dead: suspect in half of the pairs after %ld ms, 99%% %ld "
-           "ms, all %ld ms; gone in all %ld ms; meanwhile %.2f KB sent a "
-           "node and second\n",
+    printf("  %d crashed: suspected in half of the pairs after %ld ms, 99%% "
+           "%ld ms, all %ld ms; dead in all %ld ms; meanwhile %.2f KB sent "
+           "per node and second\n",
            death_count, (long)half_ms, (long)most_ms, (long)all_ms,
            (long)(now_ms - start_ms),
            (double)byte_count / node_seconds / 1000);
@@ -462,11 +473,11 @@
 static void
 report_cpu(void)
 {
-    struct sas_rpc_seat seats[SasMembership_DIGEST_SEATS];
+    struct sas_rpc_seat members[SasMembership_DIGEST_SEATS];
     struct sas_proto_session session;
     struct sas_membership table;
     int count = MIN(node_count, SasMembership_DIGEST_SEATS);
-    memset(seats, 0, sizeof(seats));
+    memset(members, 0, sizeof(members));
     memset(&session, 0, sizeof(session));
     SasMembership_Init(&table, node_count, 0, 1000, 0);
     GRand *random = g_rand_new_with_seed((guint32)seed);
@@ -477,31 +488,32 @@
         int picked[SasPeer_MAX_CALLS];
         SasMembership_PickPeers(&table, random, i, picked, 1);
         SasMembership_FillDigest(&table, random, i, news, count);
-        struct sas_proto_message message = make_gossip(seats, count);
+        struct sas_proto_message message = make_gossip(members, count);
         g_autofree uint8_t *record =
             SasProto_Encode(get_key(), &session, &message, &size, NULL);
         struct sas_proto_message got;
         SasProto_Open(get_key(), &session, record + SasRecord_MARK_SIZE,
                       size - SasRecord_MARK_SIZE, &got, NULL);
         SasProto_Decode(&got, NULL);
-        for (int seat = 0; seat < count; seat++) {
+        for (int member_id = 0; member_id < count; member_id++) {
             struct sas_member_news row = {
-                .seat = seat, .incarnation = 1, .heartbeat = (uint32_t)i};
+                .seat = member_id, .incarnation = 1, .heartbeat = (uint32_t)i};
             SasMembership_Merge(&table, &row, i);
         }
         SasProto_FreeBody(&got);
     }
     double seconds = get_cpu_seconds() - before;
-    printf("cpu: %.1f us for one message of %zu bytes, made, sealed, opened, "
+    printf("cpu: %.1f us per message of %zu bytes: encoded, sealed, opened, "
            "decoded and merged (%d messages)\n",
            seconds * 1e6 / CPU_MESSAGES, size, CPU_MESSAGES);
     SasMembership_Close(&table);
     g_rand_free(random);
 }
 
-/* Real peer tasks on one loop: CPU with sockets, timers and connections. */
+/* Real peer tasks on one loop: CPU time with sockets and timers included. */
 static void
-fill_live(struct sas_peer_handler *handler, struct sas_rpc_gossip *gossip)
+fill_empty_gossip(struct sas_peer_handler *handler,
+                  struct sas_rpc_gossip *gossip)
 {
     struct sas_proto_message message = make_gossip(NULL, 0);
     (void)handler;
@@ -525,17 +537,17 @@
 }
 
 static void
-on_live_over(uv_timer_t *timer)
+on_end(uv_timer_t *timer)
 {
     uv_stop(timer->loop);
 }
 
 static void
-report_live(void)
+report_sockets(void)
 {
     uv_loop_t loop;
-    uv_timer_t over;
-    struct sas_peer_handler handler = {.fill_gossip = fill_live};
+    uv_timer_t end_timer;
+    struct sas_peer_handler handler = {.fill_gossip = fill_empty_gossip};
     struct sas_vm *vms = g_new0(struct sas_vm, node_count);
     struct sas_peer **peers = g_new0(struct sas_peer *, node_count);
     int *fds = g_new0(int, node_count);
@@ -557,9 +569,9 @@
             exit(1);
         }
     }
-    uv_timer_init(&loop, &over);
+    uv_timer_init(&loop, &end_timer);
     double before = get_cpu_seconds();
-    uv_timer_start(&over, on_live_over, (uint64_t)live_s * 1000, 0);
+    uv_timer_start(&end_timer, on_end, (uint64_t)live_s * 1000, 0);
     uv_run(&loop, UV_RUN_DEFAULT);
     double cpu = get_cpu_seconds() - before;
     uint64_t sent = 0;
@@ -570,15 +582,14 @@
         bytes += SasPeer_GetCounter(peers[i], SAS_PEER_BYTES_OUT);
         SasPeer_Close(peers[i], NULL, NULL);
     }
-    uv_close((uv_handle_t *)&over, NULL);
+    uv_close((uv_handle_t *)&end_timer, NULL);
     uv_run(&loop, UV_RUN_DEFAULT);
     uv_loop_close(&loop);
-    printf(
-        "live: %d nodes %d s: %.1f messages and %.2f KB sent a node and "
-        "second, %.3f%% of a CPU a node, %.1f us a message sent and taken\n",
-        node_count, live_s, (double)sent / node_count / live_s,
-        (double)bytes / node_count / live_s / 1000,
-        cpu / live_s / node_count * 100, cpu / (double)sent * 1e6);
+    printf("live: %d nodes %d s: %.1f messages and %.2f KB sent per node and "
+           "second, %.3f%% of a CPU per node, %.1f us per message\n",
+           node_count, live_s, (double)sent / node_count / live_s,
+           (double)bytes / node_count / live_s / 1000,
+           cpu / live_s / node_count * 100, cpu / (double)sent * 1e6);
     g_free(vms);
     g_free(peers);
     g_free(fds);
@@ -601,7 +612,7 @@
         return 0;
     }
     if (live_s > 0) {
-        report_live();
+        report_sockets();
         return 0;
     }
     start_nodes();
@@ -609,12 +620,12 @@
            node_count, seed, nodes[0].table.times.fanout,
            (long)nodes[0].table.times.interval_ms,
            (size_t)node_count * sizeof(struct sas_member));
-    play_until(settle_s * 1000 / 2);
+    run_until(warmup_s * 1000 / 2);
     message_count = 0;
     byte_count = 0;
-    play_until(settle_s * 1000);
-    double node_seconds = (double)node_count * settle_s / 2;
-    printf("  steady, a node and second: %.1f messages sent, %.2f KB sent\n",
+    run_until(warmup_s * 1000);
+    double node_seconds = (double)node_count * warmup_s / 2;
+    printf("  steady, per node and second: %.1f messages sent, %.2f KB sent\n",
            (double)message_count / node_seconds,
            (double)byte_count / node_seconds / 1000);
     report_ages();
@@ -622,7 +633,7 @@
     message_count = 0;
     fetch_count = 0;
     adopt(0, 5);
-    play_until(now_ms + 60000);
+    run_until(now_ms + 60000);
     report_spread(start_ms);
     report_deaths();
     stop_nodes();
