--- a/tools/bench_lookup.c
+++ b/tools/bench_lookup.c
@@ -1,13 +1,15 @@
-/* bench_lookup - cost of look-ups and of new versions at scale.
+/* bench_lookup - cost of lookups and of new configuration versions at scale.
  *
  *     bench_lookup find|order|rebuild|ways|delta [RUNS]
  *
- * find: look-ups a second against blocks and regions. order: the same with
- * the entry VMs put in order, against their number. rebuild: time, processor
- * time and memory of a first build and of one change. ways: other ways to
- * give blocks to targets, their cost, moved blocks and share error. delta:
- * size of one changed row against the whole configuration. Each figure is
- * the median of RUNS (5) with the least and the greatest.
+ * find     lookups per second by number of blocks and regions
+ * order    time to rank the entry VMs for a caller, by their number
+ * rebuild  time, CPU time and memory of a first build and of one change
+ * ways     algorithms that assign blocks to targets: CPU time, moved blocks,
+ *          error of the shares
+ * delta    size of a one-row change against the whole configuration
+ *
+ * Each figure is the median of RUNS (5), with minimum and maximum.
  */
 #include <glib.h>
 #include <malloc.h>
@@ -24,18 +26,18 @@
 #define XXH_INLINE_ALL
 #include <xxhash.h>
 
-#define NOW INT64_C(1764680000000)
+#define NOW INT64_C(1764680000000) /* ms since 1970 */
 #define MAX_RUNS 100
-#define MOST_BLOCKS 270000
+#define MAX_BLOCKS 270000
 #define LOOKUPS 2000000
-#define ORDERS 20000
-#define HOME_SHARE 0.2 /* of each home's callers, to the next region */
-#define RAISED_SHARE 0.25
+#define RANKINGS 20000
+#define HOME_SHARE 0.2    /* of each region's callers, to the next region */
+#define RAISED_SHARE 0.25 /* that of the first region after the change */
 #define SEED 7
 
 static int runs = 5;
 
-/* Figures. */
+/* Measurements of one quantity. */
 
 struct figures {
     double values[MAX_RUNS];
@@ -74,7 +76,7 @@
     figures->values[figures->count++] = value;
 }
 
-/* A deployment of any size. */
+/* A synthetic deployment. */
 
 static void
 make_model(struct sas_model *model, int region_count, int block_count)
@@ -108,9 +110,11 @@
     };
 }
 
-/* Every home sends a share to the next region; the first one `first`. */
+/* Every region sends HOME_SHARE of its callers to the next one; the first
+ * region sends first_share. */
 static void
-make_plan(struct sas_plan *plan, const struct sas_model *model, double first)
+make_plan(struct sas_plan *plan, const struct sas_model *model,
+          double first_share)
 {
     int regions = model->region_count;
     struct sas_sheet sheet = {.rows = g_new0(struct sas_intention, regions)};
@@ -118,7 +122,8 @@
         g_new0(struct sas_plan_signal, regions);
     struct sas_plan_signals signals = {table, NULL};
     for (int i = 0; i < regions; i++) {
-        add_shift(&sheet, i, (i + 1) % regions, i == 0 ? first : HOME_SHARE);
+        add_shift(&sheet, i, (i + 1) % regions,
+                  i == 0 ? first_share : HOME_SHARE);
         table[i].headroom = 1;
     }
     struct sas_config *config =
@@ -129,7 +134,7 @@
     SasConfig_Unref(config);
 }
 
-/* Look-ups. */
+/* Lookups. */
 
 static double
 measure_finds(const struct sas_lookup *lookup, const struct sas_model *model,
@@ -178,7 +183,7 @@
 static void
 bench_find(void)
 {
-    static const int blocks[] = {1000, 10000, 100000, MOST_BLOCKS};
+    static const int blocks[] = {1000, 10000, 100000, MAX_BLOCKS};
     static const int regions[] = {3, 40, 400};
     for (size_t i = 0; i < G_N_ELEMENTS(blocks); i++) {
         for (size_t j = 0; j < G_N_ELEMENTS(regions); j++) {
@@ -194,7 +199,7 @@
     struct sas_lookup lookup;
     struct figures figures = {0};
     int vms[8];
-    make_model(&model, 3, MOST_BLOCKS);
+    make_model(&model, 3, MAX_BLOCKS);
     model.domains = g_new0(struct sas_domain, 3);
     model.vms = g_new0(struct sas_vm, vm_count);
     model.vm_count = vm_count;
@@ -211,15 +216,15 @@
     SasLookup_Init(&lookup, &model);
     for (int run = 0; run < runs; run++) {
         double start = get_seconds(CLOCK_MONOTONIC);
-        for (uint32_t i = 0; i < ORDERS; i++) {
+        for (uint32_t i = 0; i < RANKINGS; i++) {
             SasLookup_OrderVms(&lookup, &model, 0, 0x01000000 + i * 0x3000,
                                views, vms, 8);
         }
         double seconds = get_seconds(CLOCK_MONOTONIC) - start;
-        add_figure(&figures, seconds / ORDERS * 1e6);
+        add_figure(&figures, seconds / RANKINGS * 1e6);
     }
     printf("entry VMs %3d:", vm_count);
-    print_figures("one order", &figures, "us\n");
+    print_figures("one ranking", &figures, "us\n");
     SasLookup_Close(&lookup);
     SasModel_Free(&model);
 }
@@ -271,35 +276,35 @@
         struct sas_plan plan;
         struct sas_plan next;
         struct rebuild_figures out = {0};
-        make_model(&model, regions[i], MOST_BLOCKS);
+        make_model(&model, regions[i], MAX_BLOCKS);
         make_plan(&plan, &model, HOME_SHARE);
         make_plan(&next, &model, RAISED_SHARE);
         for (int run = 0; run < runs; run++) {
             run_rebuild(&model, &plan, &next, &out);
         }
-        printf("blocks %d regions %3d:", MOST_BLOCKS, regions[i]);
+        printf("blocks %d regions %3d:", MAX_BLOCKS, regions[i]);
         print_figures("first build", &out.first_ms, "ms,");
         print_figures("one change", &out.change_ms, "ms,");
         print_figures("processor", &out.change_cpu_ms, "ms,");
         print_figures("memory", &out.bytes, "MB,");
-        printf(" moved %d (least %.0f)\n", out.moved,
-               (RAISED_SHARE - HOME_SHARE) * MOST_BLOCKS / regions[i]);
+        printf(" moved %d (minimum %.0f)\n", out.moved,
+               (RAISED_SHARE - HOME_SHARE) * MAX_BLOCKS / regions[i]);
         SasPlan_Free(&plan);
         SasPlan_Free(&next);
         SasModel_Free(&model);
     }
 }
 
-/* Other ways to give keys to targets. */
+/* Algorithms that assign keys to targets. */
 
 static double
-get_chance(uint64_t key, uint64_t id)
+hash_to_unit(uint64_t key, uint64_t id)
 {
     uint64_t hash = XXH3_64bits_withSeed(&key, sizeof(key), id);
     return ((double)(hash >> 12) + 0.5) / 4503599627370496.0;
 }
 
-/* Rendezvous with a logarithm for each pair. */
+/* Weighted rendezvous hashing with a logarithm for each pair. */
 static void
 assign_plain(const uint64_t *keys, int count, const struct sas_target *targets,
              int target_count, uint16_t *owners)
@@ -308,7 +313,7 @@
         double best = INFINITY;
         for (int j = 0; j < target_count; j++) {
             double score =
-                -log(get_chance(keys[i], targets[j].id)) / targets[j].weight;
+                -log(hash_to_unit(keys[i], targets[j].id)) / targets[j].weight;
             if (score < best) {
                 best = score;
                 owners[i] = (uint16_t)j;
@@ -317,7 +322,7 @@
     }
 }
 
-/* One hash a key, then a search in the cumulative weights. */
+/* One hash per key, then a binary search in the cumulative weights. */
 static void
 assign_cumulative(const uint64_t *keys, int count,
                   const struct sas_target *targets, int target_count,
@@ -330,12 +335,12 @@
         ends[i] = sum;
     }
     for (int i = 0; i < count; i++) {
-        double place = get_chance(keys[i], SEED) * sum;
+        double point = hash_to_unit(keys[i], SEED) * sum;
         int low = 0;
         int high = target_count - 1;
         while (low < high) {
             int middle = (low + high) / 2;
-            if (ends[middle] > place) {
+            if (ends[middle] > point) {
                 high = middle;
             }
             else {
@@ -346,7 +351,7 @@
     }
 }
 
-/* Rendezvous among groups of targets, then within the group. */
+/* Rendezvous hashing over groups of targets, then within the group. */
 static void
 assign_tree(const uint64_t *keys, int count, const struct sas_target *targets,
             int target_count, uint16_t *owners)
@@ -367,14 +372,14 @@
     }
 }
 
-struct way {
+struct algorithm {
     const char *name;
     void (*assign)(const uint64_t *keys, int count,
                    const struct sas_target *targets, int target_count,
                    uint16_t *owners);
 };
 
-static const struct way ways[] = {
+static const struct algorithm algorithms[] = {
     {"rendezvous, plain", assign_plain},
     {"rendezvous, bounded", SasLookup_Assign},
     {"cumulative weights", assign_cumulative},
@@ -385,20 +390,21 @@
 count_moved(const uint16_t *left, const uint16_t *right)
 {
     int moved = 0;
-    for (int i = 0; i < MOST_BLOCKS; i++) {
+    for (int i = 0; i < MAX_BLOCKS; i++) {
         moved += left[i] != right[i];
     }
     return moved;
 }
 
-/* The greatest error of a target's share, in standard deviations. */
+/* Returns the maximum error of a target's share, in standard deviations. */
 static double
-find_error(const uint16_t *owners, const struct sas_target *targets, int count)
+find_max_error(const uint16_t *owners, const struct sas_target *targets,
+               int count)
 {
     g_autofree int *blocks = g_new0(int, count + 1);
     double sum = 0;
-    double most = 0;
-    for (int i = 0; i < MOST_BLOCKS; i++) {
+    double max_error = 0;
+    for (int i = 0; i < MAX_BLOCKS; i++) {
         blocks[owners[i]]++;
     }
     for (int i = 0; i < count; i++) {
@@ -406,13 +412,14 @@
     }
     for (int i = 0; i < count; i++) {
         double share = targets[i].weight / sum;
-        double deviation = sqrt(MOST_BLOCKS * share * (1 - share));
-        most = fmax(most, fabs(blocks[i] - share * MOST_BLOCKS) / deviation);
+        double deviation = sqrt(MAX_BLOCKS * share * (1 - share));
+        max_error =
+            fmax(max_error, fabs(blocks[i] - share * MAX_BLOCKS) / deviation);
     }
-    return most;
+    return max_error;
 }
 
-struct ways_bench {
+struct assignment_bench {
     uint64_t *keys;
     struct sas_target *old_targets;
     struct sas_target *targets;
@@ -422,38 +429,39 @@
 };
 
 static void
-bench_way(const struct ways_bench *bench, const struct way *way)
+bench_algorithm(const struct assignment_bench *bench,
+                const struct algorithm *algorithm)
 {
     struct figures figures = {0};
-    way->assign(bench->keys, MOST_BLOCKS, bench->old_targets,
-                bench->target_count, bench->old_owners);
+    algorithm->assign(bench->keys, MAX_BLOCKS, bench->old_targets,
+                      bench->target_count, bench->old_owners);
     for (int run = 0; run < runs; run++) {
         double start = get_seconds(CLOCK_PROCESS_CPUTIME_ID);
-        way->assign(bench->keys, MOST_BLOCKS, bench->targets,
-                    bench->target_count, bench->owners);
+        algorithm->assign(bench->keys, MAX_BLOCKS, bench->targets,
+                          bench->target_count, bench->owners);
         add_figure(&figures,
                    (get_seconds(CLOCK_PROCESS_CPUTIME_ID) - start) * 1e3);
     }
-    printf("targets %3d %-20s:", bench->target_count, way->name);
+    printf("targets %3d %-20s:", bench->target_count, algorithm->name);
     print_figures("all blocks", &figures, "ms,");
     printf(" moved %d, error %.2f sd\n",
            count_moved(bench->old_owners, bench->owners),
-           find_error(bench->owners, bench->targets, bench->target_count));
+           find_max_error(bench->owners, bench->targets, bench->target_count));
 }
 
-/* Needs the owners that SasLookup_Assign gave. */
+/* old_owners: as SasLookup_Assign returned them for old_targets. */
 static void
-bench_reassign(const struct ways_bench *bench, const char *name,
+bench_reassign(const struct assignment_bench *bench, const char *name,
                const struct sas_target *old_targets,
                const struct sas_target *targets, const uint16_t *old_owners)
 {
     struct figures figures = {0};
     int moved = 0;
     for (int run = 0; run < runs; run++) {
-        memcpy(bench->owners, old_owners, MOST_BLOCKS * sizeof(uint16_t));
+        memcpy(bench->owners, old_owners, MAX_BLOCKS * sizeof(uint16_t));
         double start = get_seconds(CLOCK_PROCESS_CPUTIME_ID);
         moved =
-            SasLookup_Reassign(bench->keys, MOST_BLOCKS, old_targets, targets,
+            SasLookup_Reassign(bench->keys, MAX_BLOCKS, old_targets, targets,
                                bench->target_count, bench->owners);
         add_figure(&figures,
                    (get_seconds(CLOCK_PROCESS_CPUTIME_ID) - start) * 1e3);
@@ -464,18 +472,18 @@
 }
 
 static void
-bench_ways_at(int target_count)
+bench_algorithms_at(int target_count)
 {
     g_autoptr(GRand) rand = g_rand_new_with_seed(SEED);
-    g_autofree uint64_t *keys = g_new(uint64_t, MOST_BLOCKS);
-    g_autofree uint16_t *old_owners = g_new0(uint16_t, MOST_BLOCKS);
-    g_autofree uint16_t *owners = g_new0(uint16_t, MOST_BLOCKS);
+    g_autofree uint64_t *keys = g_new(uint64_t, MAX_BLOCKS);
+    g_autofree uint16_t *old_owners = g_new0(uint16_t, MAX_BLOCKS);
+    g_autofree uint16_t *owners = g_new0(uint16_t, MAX_BLOCKS);
     g_autofree struct sas_target *old_targets =
         g_new0(struct sas_target, target_count);
-    struct ways_bench bench = {keys,         old_targets, NULL,
-                               target_count, old_owners,  owners};
+    struct assignment_bench bench = {keys,         old_targets, NULL,
+                                     target_count, old_owners,  owners};
     double sum = 0;
-    for (int i = 0; i < MOST_BLOCKS; i++) {
+    for (int i = 0; i < MAX_BLOCKS; i++) {
         keys[i] = (uint64_t)g_rand_int(rand) << 32 | g_rand_int(rand);
     }
     for (int i = 0; i < target_count; i++) {
@@ -490,29 +498,29 @@
     raised->weight *= 1.2;
     double share = raised->weight / (sum + raised->weight / 6);
     bench.targets = targets;
-    printf("targets %3d, one weight up by a fifth: least moved %.0f\n",
-           target_count, (share - old_share) * MOST_BLOCKS);
-    for (size_t i = 0; i < G_N_ELEMENTS(ways); i++) {
-        bench_way(&bench, &ways[i]);
+    printf("targets %3d, one weight up by 20%%: minimum moved %.0f\n",
+           target_count, (share - old_share) * MAX_BLOCKS);
+    for (size_t i = 0; i < G_N_ELEMENTS(algorithms); i++) {
+        bench_algorithm(&bench, &algorithms[i]);
     }
-    SasLookup_Assign(keys, MOST_BLOCKS, old_targets, target_count, old_owners);
+    SasLookup_Assign(keys, MAX_BLOCKS, old_targets, target_count, old_owners);
     bench_reassign(&bench, "reassign, one rises", old_targets, targets,
                    old_owners);
-    SasLookup_Assign(keys, MOST_BLOCKS, targets, target_count, old_owners);
+    SasLookup_Assign(keys, MAX_BLOCKS, targets, target_count, old_owners);
     bench_reassign(&bench, "reassign, one falls", targets, old_targets,
                    old_owners);
 }
 
 static void
-bench_ways(void)
+bench_algorithms(void)
 {
     static const int counts[] = {3, 16, 100, 400};
     for (size_t i = 0; i < G_N_ELEMENTS(counts); i++) {
-        bench_ways_at(counts[i]);
+        bench_algorithms_at(counts[i]);
     }
 }
 
-/* Deltas. */
+/* Configuration deltas. */
 
 static struct sas_config *
 make_config(const struct sas_model *model, int64_t number, int rows,
@@ -593,17 +601,17 @@
     static const struct {
         const char *name;
         void (*run)(void);
-    } benches[] = {{"find", bench_find},
-                   {"order", bench_order},
-                   {"rebuild", bench_rebuild},
-                   {"ways", bench_ways},
-                   {"delta", bench_delta}};
+    } benchmarks[] = {{"find", bench_find},
+                      {"order", bench_order},
+                      {"rebuild", bench_rebuild},
+                      {"ways", bench_algorithms},
+                      {"delta", bench_delta}};
     if (argc > 2) {
         runs = CLAMP(atoi(argv[2]), 1, MAX_RUNS);
     }
-    for (size_t i = 0; argc > 1 && i < G_N_ELEMENTS(benches); i++) {
-        if (strcmp(argv[1], benches[i].name) == 0) {
-            benches[i].run();
+    for (size_t i = 0; argc > 1 && i < G_N_ELEMENTS(benchmarks); i++) {
+        if (strcmp(argv[1], benchmarks[i].name) == 0) {
+            benchmarks[i].run();
             return 0;
         }
     }
--- a/tools/bench_routes.c
+++ b/tools/bench_routes.c
@@ -1,6 +1,9 @@
-/* bench_routes - the time that finding a request's route takes, by the number
- * of routes: bench_routes [LOOK-UPS]. The host has them all, and each request
- * names one of them. */
+/* bench_routes - time to find the route of a request, by the number of routes.
+ *
+ *     bench_routes [LOOKUPS]
+ *
+ * One host has all routes, and each request matches one of them.
+ */
 #include <stdio.h>
 #include <stdlib.h>
 
--- a/tools/compare_budgets.c
+++ b/tools/compare_budgets.c
@@ -1,14 +1,14 @@
-/* compare_budgets - four ways to split one limit over the entry VMs, driven
- * with the same seeded arrivals; prints a table.
+/* compare_budgets - simulates four ways to split one limit over the entry VMs
+ * with the same seeded arrivals and prints a table.
  *
- * 72 slots, 9 nodes, requests of 200 ms on average, as many as fill all
- * slots. One node gets SKEW times the callers of each other one; every 20 s
- * another node is the hot one. Each run has three minutes: all well, the
- * store down, and regions (three nodes each) cut from each other with the
- * store in the first one. Each node looks at its loans or its lease every
- * 40 ms, and an exchange is then done at once: with 20 ms for a round trip
- * or for a read and a write of the store, that is no faster than in truth.
- * Leases lose no race for the row here, which favours them.
+ * 72 slots, 9 nodes, requests of 200 ms on average at a load of 100%. One hot
+ * node gets SKEW times the requests of each other one; every 20 s another node
+ * is the hot one. Each run has three phases of one minute: no fault, store
+ * down, and a partition between the regions (three nodes each) with the store
+ * in the first one. Each node handles its loans or its lease every 40 ms, and
+ * its messages then take no time: with 20 ms for a round trip or for a read
+ * and a write of the store, that is no faster than a real system. Leases never
+ * lose a race for the row here, which favours them.
  */
 #include <math.h>
 #include <stdio.h>
@@ -21,11 +21,11 @@
 #define MEAN_MS 200.0
 #define DEADLINE_MS 5000
 #define PHASE_MS 60000
-#define WARM_MS 5000 /* of each phase, not counted */
+#define WARMUP_MS 5000 /* start of each phase, not counted */
 #define PHASES 3
-#define HOT_MS 20000
+#define HOT_NODE_MS 20000 /* time for which one node is hot */
 #define TICK_MS 40
-#define HINT_MS 480
+#define HINT_INTERVAL_MS 480 /* interval of hints on unused units */
 #define SEEDS 5
 
 enum policy {
@@ -37,9 +37,9 @@
 };
 
 enum phase {
-    WELL,
+    NO_FAULT,
     STORE_DOWN,
-    CUT
+    PARTITIONED
 };
 
 static const char *const POLICY_NAMES[] = {
@@ -47,23 +47,23 @@
 
 struct request {
     int node;
-    int pot;
+    int source;
     int64_t end_ms;
 };
 
 struct lease {
     int64_t granted;
     int64_t until_ms;
-    double use; /* recent means, as in the core */
-    double taken;
+    double use; /* decaying means, as in the core */
+    double acquired;
     double refused;
 };
 
 struct result {
     double used[PHASES];
-    int64_t messages; /* of loans */
+    int64_t messages; /* for loans */
     int64_t hints;
-    int64_t writes; /* of the store; as many reads */
+    int64_t writes; /* to the store; the same number of reads */
 };
 
 static struct sas_budget budgets[NODES];
@@ -74,9 +74,9 @@
 static struct result *result;
 
 static bool
-is_cut(int a, int b, int64_t now)
+is_partitioned(int a, int b, int64_t now)
 {
-    return now / PHASE_MS == CUT && a / 3 != b / 3;
+    return now / PHASE_MS == PARTITIONED && a / 3 != b / 3;
 }
 
 static void
@@ -89,7 +89,7 @@
         uint64_t id = loan->id;
         int64_t left = SasBudget_Return(b, id, now);
         result->messages++;
-        if (!is_cut(node, lender, now)) {
+        if (!is_partitioned(node, lender, now)) {
             SasBudget_TakeBack(&budgets[lender], node, id, left, now);
         }
     }
@@ -97,7 +97,7 @@
     if (loan != NULL) {
         uint32_t renewal = SasBudget_Renew(b, loan->id, now);
         result->messages += 2;
-        if (!is_cut(node, loan->seat, now)) {
+        if (!is_partitioned(node, loan->seat, now)) {
             bool ok = SasBudget_Extend(&budgets[loan->seat], node, loan->id,
                                        loan->granted, now);
             SasBudget_Renewed(b, loan->id, renewal, ok, now);
@@ -109,50 +109,52 @@
     if (id != 0) {
         result->messages += 2;
     }
-    if (id != 0 && !is_cut(node, lender, now)) {
+    if (id != 0 && !is_partitioned(node, lender, now)) {
         int64_t granted =
             SasBudget_Lend(&budgets[lender], node, id, wanted, now);
         SasBudget_Borrowed(b, lender, id, granted, now);
     }
-    for (int i = 0; now % HINT_MS == 0 && i < NODES; i++) {
+    for (int i = 0; now % HINT_INTERVAL_MS == 0 && i < NODES; i++) {
         result->hints += i != node;
-        if (i != node && !is_cut(node, i, now)) {
+        if (i != node && !is_partitioned(node, i, now)) {
             SasBudget_Hint(&budgets[i], node, SasBudget_GetUnused(b, now), 0,
                            now);
         }
     }
 }
 
-/* One read and one compare-and-swap of the row when there is a need. */
+/* One read and one compare-and-swap of the row when the lease expires soon or
+ * more units are needed. */
 static void
 tick_lease(int node, int64_t now)
 {
     struct lease *l = &leases[node];
-    double kept = exp(-(double)TICK_MS / SasBudget_RECENT_MS);
-    l->use = used[node] + (l->use - used[node]) * kept;
-    l->taken *= kept;
-    l->refused *= kept;
-    double need =
-        l->taken > 0.0 ? l->use * (l->taken + l->refused) / l->taken : 1.0;
+    double decay = exp(-(double)TICK_MS / SasBudget_RECENT_MS);
+    l->use = used[node] + (l->use - used[node]) * decay;
+    l->acquired *= decay;
+    l->refused *= decay;
+    double need = l->acquired > 0.0
+                      ? l->use * (l->acquired + l->refused) / l->acquired
+                      : 1.0;
     int64_t wanted = (int64_t)(need + sqrt(need) / 2 + 0.5);
-    bool reachable =
-        now / PHASE_MS == WELL || (now / PHASE_MS == CUT && node / 3 == 0);
+    bool reachable = now / PHASE_MS == NO_FAULT ||
+                     (now / PHASE_MS == PARTITIONED && node / 3 == 0);
     bool due = l->until_ms - now < SasBudget_LIFE_MS * 2 / 3;
     if (!reachable || (!due && (l->refused <= 0.5 || wanted <= l->granted))) {
         return;
     }
-    int64_t room = LIMIT;
+    int64_t available = LIMIT;
     for (int i = 0; i < NODES; i++) {
-        bool held = now < leases[i].until_ms + SasBudget_MARGIN_MS;
-        room -= i != node && held ? leases[i].granted : 0;
+        bool is_held = now < leases[i].until_ms + SasBudget_MARGIN_MS;
+        available -= i != node && is_held ? leases[i].granted : 0;
     }
     result->writes++;
-    l->granted = MIN(MAX(wanted, 1), room);
+    l->granted = MIN(MAX(wanted, 1), available);
     l->until_ms = now + SasBudget_LIFE_MS;
 }
 
 static int
-take(enum policy policy, int node, int64_t now)
+acquire(enum policy policy, int node, int64_t now)
 {
     struct lease *l = &leases[node];
     switch (policy) {
@@ -164,7 +166,7 @@
         return SasBudget_Take(&budgets[node], 1, DEADLINE_MS, now);
     default:
         if (now < l->until_ms && used[node] < l->granted) {
-            l->taken += 1.0;
+            l->acquired += 1.0;
             return 0;
         }
         l->refused += 1.0;
@@ -178,7 +180,7 @@
     for (int i = 0; i < running_count; i++) {
         if (running[i].end_ms <= now) {
             if (policy == LOANS) {
-                SasBudget_Give(&budgets[running[i].node], running[i].pot, 1,
+                SasBudget_Give(&budgets[running[i].node], running[i].source, 1,
                                now);
             }
             used[running[i].node]--;
@@ -188,7 +190,7 @@
 }
 
 static void
-start_all(void)
+reset_nodes(void)
 {
     int64_t floors[NODES];
     const int64_t weights[NODES] = {1, 1, 1, 1, 1, 1, 1, 1, 1};
@@ -212,19 +214,20 @@
     GRand *arrivals = g_rand_new_with_seed(seed);
     GRand *choices = g_rand_new_with_seed(seed + 1000);
     double next = 0.0;
-    start_all();
+    reset_nodes();
     for (int64_t now = 0; now < PHASES * PHASE_MS; now++) {
         end_requests(policy, now);
         while (next <= (double)now) {
             next -= log(1.0 - g_rand_double(arrivals)) * MEAN_MS / LIMIT;
-            double lasts = -log(1.0 - g_rand_double(arrivals)) * MEAN_MS;
-            int at = g_rand_int_range(arrivals, 0, NODES - 1 + skew);
-            int hot = (int)(now / HOT_MS) % NODES;
-            int node = at < NODES ? at : hot;
-            int pot = take(policy, node, now);
-            if (pot >= 0) {
+            double duration_ms = -log(1.0 - g_rand_double(arrivals)) * MEAN_MS;
+            int draw = g_rand_int_range(arrivals, 0, NODES - 1 + skew);
+            int hot = (int)(now / HOT_NODE_MS) % NODES;
+            int node = draw < NODES ? draw : hot;
+            int source = acquire(policy, node, now);
+            if (source >= 0) {
                 running[running_count++] = (struct request){
-                    node, pot, now + 1 + (int64_t)MIN(lasts, DEADLINE_MS)};
+                    node, source,
+                    now + 1 + (int64_t)MIN(duration_ms, DEADLINE_MS)};
                 used[node]++;
             }
         }
@@ -240,9 +243,9 @@
             printf("%s: %d of %d in use at %d ms\n", POLICY_NAMES[policy],
                    running_count, LIMIT, (int)now);
         }
-        if (now % PHASE_MS >= WARM_MS) {
+        if (now % PHASE_MS >= WARMUP_MS) {
             result->used[now / PHASE_MS] +=
-                (double)running_count / LIMIT / (PHASE_MS - WARM_MS);
+                (double)running_count / LIMIT / (PHASE_MS - WARMUP_MS);
         }
     }
     g_rand_free(arrivals);
@@ -253,8 +256,8 @@
 main(void)
 {
     const int skews[] = {1, 4, 9};
-    printf("used share of %d slots in %%, mean (least-most) of %d seeds; "
-           "loan messages, hints and store writes a second\n",
+    printf("used share of %d slots in %%, mean (min-max) of %d seeds; "
+           "loan messages, hints and store writes per second\n",
            LIMIT, SEEDS);
     for (int s = 0; s < 3; s++) {
         for (int policy = 0; policy < POLICIES; policy++) {
