--- a/tools/load/bare_h2o.c
+++ b/tools/load/bare_h2o.c
@@ -1,7 +1,8 @@
-/* sas_bare_h2o - the least that h2o on libuv can do: a constant answer.
+/* sas_bare_h2o - h2o on libuv with a constant answer, the baseline for an
+ * entry VM's throughput.
  *
- * Prints "PORT bare n" and answers every request with 200 and 160 bytes, for
- * comparison with what an entry VM does on top of it. Serves until SIGTERM.
+ * Prints "PORT bare n", answers every request with 200 and 160 bytes, and
+ * serves until SIGTERM.
  */
 #include <uv.h>
 
--- a/tools/load/load.c
+++ b/tools/load/load.c
@@ -2,21 +2,23 @@
  *
  *   sas_load --target IP:PORT[:WEIGHT] ... --rate 1000 --duration 10
  *
- * Arrivals are Poisson from --seed and go to the targets by weight. Each
- * latency is counted in full from the planned arrival, also when the
- * generator itself (up to 1 ms without --spin) or a free connection was late.
- * --closed N keeps N connections busy instead, for the maximal throughput.
+ * Arrivals are Poisson from --seed and go to the targets by weight. Latencies
+ * count from the planned arrival, so they include delays of the generator (up
+ * to 1 ms without --spin) and the wait for a free connection: no coordinated
+ * omission. --closed N is a closed loop over N connections instead, for the
+ * maximum throughput.
  *
  * --service NAME sends to /s/NAME/..., without it --path is sent as it is:
- * look-ups (--path '/v1/lookup?service=NAME') or, with a backend server's
+ * lookups (--path '/v1/lookup?service=NAME') or, with a backend server's
  * address as the target, direct requests. --mean-ms draws each request's
- * service time and asks the backend stand-in for it (ms=N), so that two runs
- * with one seed bring the same work. --check asks the stand-in to echo a
- * number and counts answers that were meant for somebody else.
+ * service time and asks the backend stand-in for it (ms=N), so that runs with
+ * the same seed bring the same load. --check numbers each request in its
+ * target; a 2xx answer whose body does not repeat the number is an error.
  *
- * A request without a whole answer within --timeout-ms is an error
- * ("timeout"), as are "connect", "reset" and "cut" (closed before or within
- * the answer). The first --warmup seconds do not count.
+ * Errors: "connect"; "reset" (closed before the answer began, or the
+ * connection was reset); "cut" (closed within the answer); "bad answer" (no
+ * valid HTTP); "wrong answer" (--check); "timeout" (no complete answer within
+ * --timeout-ms). The first --warmup seconds do not count.
  */
 #include <glib.h>
 #include <http_parser.h>
@@ -27,9 +29,9 @@
 
 #include "results.h"
 
-#define CALLERS 200 /* addresses of a target with a source */
+#define CALLERS 200 /* source addresses of a target with a source */
 #define READ_SIZE 65536
-#define KEPT_BODY 1024
+#define BODY_PREFIX_SIZE 1024
 #define NAME_SIZE 64
 #define SWEEP_MS 50
 
@@ -57,12 +59,12 @@
 struct target {
     struct sockaddr_in address;
     char *host;
-    struct sockaddr_in source; /* callers' first address; port 0 */
+    struct sockaddr_in source; /* first source address, port 0 */
     bool has_source;
     double weight;
     GQueue idle;    /* struct connection */
-    GQueue waiting; /* struct request, no connection was free */
-    int open;
+    GQueue waiting; /* struct request, for a free connection */
+    int open;       /* connections */
 };
 
 struct request {
@@ -81,11 +83,11 @@
     bool is_connected;
     bool is_closing;
     bool has_answer_begun;
-    char names[4][NAME_SIZE]; /* values of the headers in header_names */
-    int header;               /* the one being read, or -1 */
-    char field[NAME_SIZE];
-    bool was_value;
-    char body[KEPT_BODY + 1];
+    char header_values[4][NAME_SIZE]; /* in the order of header_names */
+    int header;                       /* not used */
+    char header_name[NAME_SIZE];
+    bool after_value; /* the next header name begins a new header */
+    char body[BODY_PREFIX_SIZE + 1];
     int64_t bytes;
 };
 
@@ -141,7 +143,7 @@
 static void close_connection(struct connection *connection);
 static void on_closed(uv_handle_t *handle);
 static bool is_counted(const struct load *load, const struct request *request);
-static bool is_over(const struct load *load);
+static bool is_past_end(const struct load *load);
 static void report(struct load *load);
 
 static const http_parser_settings parser_settings = {
@@ -172,7 +174,7 @@
     Results_Init(&load->results);
     for (char **text = load->options.targets; text && *text; text++) {
         if (!add_target(load, *text)) {
-            fprintf(stderr, "bad target %s\n", *text);
+            fprintf(stderr, "invalid target %s\n", *text);
             return 2;
         }
     }
@@ -228,25 +230,29 @@
     const GOptionEntry entries[] = {
         OPTION("target", STRING_ARRAY, targets,
                "IP:PORT[:WEIGHT[:SOURCE]], repeatable; SOURCE is the first of "
-               "200 addresses that callers have"),
+               "200 source addresses"),
         OPTION("rate", DOUBLE, rate, "requests per second"),
-        OPTION("closed", INT, closed, "connections kept busy, no rate"),
+        OPTION("closed", INT, closed,
+               "closed loop over this many connections"),
         OPTION("duration", DOUBLE, duration, "seconds"),
-        OPTION("warmup", DOUBLE, warmup, "first seconds that do not count"),
-        OPTION("connections", INT, connections, "most per target"),
+        OPTION("warmup", DOUBLE, warmup, "seconds before counting starts"),
+        OPTION("connections", INT, connections, "connection limit per target"),
         OPTION("service", STRING, service, "prefix /s/NAME"),
         OPTION("path", STRING, path, "path and query"),
         OPTION("method", STRING, method, "GET, or POST with a body"),
         OPTION("body", INT, body, "bytes of each request's body"),
-        OPTION("mean-ms", DOUBLE, mean_ms, "mean service time to ask for"),
-        OPTION("once", NONE, once, "a new Idempotency-Key each"),
-        OPTION("check", NONE, check, "answers must echo their request"),
+        OPTION("mean-ms", DOUBLE, mean_ms,
+               "mean service time of the stand-in, ms"),
+        OPTION("once", NONE, once,
+               "sends a new Idempotency-Key with each request"),
+        OPTION("check", NONE, check,
+               "checks that answers repeat their request"),
         OPTION("spin", NONE, spin,
-               "busy loop, sends without the timer's 1 ms"),
-        OPTION("deadline-ms", INT, deadline_ms, "Sas-Deadline-Ms"),
-        OPTION("timeout-ms", INT, timeout_ms, "give up after"),
-        OPTION("seed", INT, seed, "of arrivals and service times"),
-        OPTION("csv", STRING, csv, "file for the table"),
+               "busy loop, avoids the timer's delay of up to 1 ms"),
+        OPTION("deadline-ms", INT, deadline_ms, "value of Sas-Deadline-Ms"),
+        OPTION("timeout-ms", INT, timeout_ms, "request timeout"),
+        OPTION("seed", INT, seed, "random seed"),
+        OPTION("csv", STRING, csv, "file for the table as CSV"),
         {NULL, 0, 0, 0, NULL, NULL, NULL},
     };
     g_autoptr(GOptionContext) context = g_option_context_new(NULL);
@@ -296,14 +302,14 @@
 {
     struct load *load = timer->data;
     uint64_t now = uv_hrtime();
-    while (load->next_ns <= now && !is_over(load)) {
+    while (load->next_ns <= now && !is_past_end(load)) {
         uint64_t planned = load->next_ns;
         load->next_ns += (uint64_t)Sample_DrawExponential(
             load->random, 1e9 / load->options.rate);
         issue(load, planned);
     }
-    if (!load->options.spin && !is_over(load)) {
-        /* A timer of 0 ms would run again before any socket is looked at. */
+    if (!load->options.spin && !is_past_end(load)) {
+        /* A timer of 0 ms would run again before libuv polls the sockets. */
         uint64_t wait_ms =
             load->next_ns > now ? MAX(1, (load->next_ns - now) / 1000000) : 1;
         uv_update_time(&load->loop);
@@ -320,14 +326,15 @@
     }
 }
 
-/* Gives up what is too old, and everything once the run has ended. */
+/* Fails requests that have timed out, and closes all connections once the run
+ * has ended and no request is pending. */
 static void
 on_sweep(uv_timer_t *timer)
 {
     struct load *load = timer->data;
     uint64_t now = uv_hrtime();
     uint64_t limit = (uint64_t)load->options.timeout_ms * 1000000;
-    bool has_ended = is_over(load) && load->unfinished == 0;
+    bool has_ended = is_past_end(load) && load->unfinished == 0;
     g_autoptr(GList) all = g_hash_table_get_keys(load->connections);
     for (GList *at = all; at != NULL; at = at->next) {
         struct connection *connection = at->data;
@@ -503,7 +510,7 @@
 static void
 on_written(uv_write_t *write, int status)
 {
-    (void)status; /* the read side sees a broken connection too */
+    (void)status; /* on_read also gets the error of the connection */
     g_free(write);
 }
 
@@ -522,8 +529,8 @@
     if (size == 0) {
         return;
     }
-    /* A length of 0 tells the parser of the end, which completes an answer
-     * that is framed by the close. */
+    /* A length of 0 tells the parser that the connection was closed, which
+     * completes an answer without a length. */
     size_t length = size > 0 ? (size_t)size : 0;
     if (size > 0 || size == UV_EOF) {
         size_t done = http_parser_execute(
@@ -551,12 +558,12 @@
 {
     struct connection *connection = parser->data;
     if (connection->request == NULL) {
-        return -1; /* nobody asked */
+        return -1; /* unsolicited answer */
     }
     connection->has_answer_begun = true;
     connection->bytes = 0;
-    connection->field[0] = '\0';
-    memset(connection->names, 0, sizeof(connection->names));
+    connection->header_name[0] = '\0';
+    memset(connection->header_values, 0, sizeof(connection->header_values));
     return 0;
 }
 
@@ -573,11 +580,11 @@
 on_field(http_parser *parser, const char *at, size_t length)
 {
     struct connection *connection = parser->data;
-    if (connection->was_value) {
-        connection->field[0] = '\0';
-        connection->was_value = false;
+    if (connection->after_value) {
+        connection->header_name[0] = '\0';
+        connection->after_value = false;
     }
-    append(connection->field, NAME_SIZE, at, length);
+    append(connection->header_name, NAME_SIZE, at, length);
     return 0;
 }
 
@@ -585,10 +592,11 @@
 on_value(http_parser *parser, const char *at, size_t length)
 {
     struct connection *connection = parser->data;
-    connection->was_value = true;
+    connection->after_value = true;
     for (gsize i = 0; i < G_N_ELEMENTS(header_names); i++) {
-        if (g_ascii_strcasecmp(connection->field, header_names[i]) == 0) {
-            append(connection->names[i], NAME_SIZE, at, length);
+        if (g_ascii_strcasecmp(connection->header_name, header_names[i]) ==
+            0) {
+            append(connection->header_values[i], NAME_SIZE, at, length);
         }
     }
     return 0;
@@ -598,10 +606,11 @@
 on_body(http_parser *parser, const char *at, size_t length)
 {
     struct connection *connection = parser->data;
-    if (connection->bytes < KEPT_BODY) {
-        size_t kept = MIN(length, (size_t)(KEPT_BODY - connection->bytes));
-        memcpy(connection->body + connection->bytes, at, kept);
-        connection->body[connection->bytes + (int64_t)kept] = '\0';
+    if (connection->bytes < BODY_PREFIX_SIZE) {
+        size_t copied =
+            MIN(length, (size_t)(BODY_PREFIX_SIZE - connection->bytes));
+        memcpy(connection->body + connection->bytes, at, copied);
+        connection->body[connection->bytes + (int64_t)copied] = '\0';
     }
     connection->bytes += (int64_t)length;
     return 0;
@@ -638,15 +647,15 @@
         .status = connection->parser.status_code,
         .bytes = connection->bytes,
         .latency_ms = (double)(uv_hrtime() - request->planned_ns) / 1e6,
-        .region = connection->names[0],
-        .backend = connection->names[1],
-        .reason = connection->names[2],
-        .outcome = connection->names[3],
+        .region = connection->header_values[0],
+        .backend = connection->header_values[1],
+        .reason = connection->header_values[2],
+        .outcome = connection->header_values[3],
     };
-    g_autofree char *mark =
+    g_autofree char *marker =
         g_strdup_printf("n=%" G_GINT64_FORMAT "e", request->number);
     if (load->options.check && answer.status < 300 &&
-        (answer.bytes == 0 || strstr(connection->body, mark) == NULL)) {
+        (answer.bytes == 0 || strstr(connection->body, marker) == NULL)) {
         Results_AddError(&load->results, "wrong answer");
     }
     else {
@@ -668,8 +677,8 @@
     finish_request(load, target, request);
 }
 
-/* The place that it leaves goes to what waits, or to the next request of a
- * closed loop. */
+/* Its connection slot goes to the next waiting request; a closed loop issues a
+ * new request. */
 static void
 finish_request(struct load *load, struct target *target,
                struct request *request)
@@ -679,7 +688,7 @@
     if (target != NULL && target->waiting.length > 0) {
         dispatch(load, target, g_queue_pop_head(&target->waiting));
     }
-    if (load->options.closed > 0 && !is_over(load)) {
+    if (load->options.closed > 0 && !is_past_end(load)) {
         issue(load, uv_hrtime());
     }
 }
@@ -711,7 +720,7 @@
 }
 
 static bool
-is_over(const struct load *load)
+is_past_end(const struct load *load)
 {
     uint64_t end =
         load->start_ns +
--- a/tools/load/place_driver.c
+++ b/tools/load/place_driver.c
@@ -1,13 +1,13 @@
-/* place_driver - measures the placement policies of the core on one seeded
+/* place_driver - simulates the placement policies of the core on one seeded
  * arrival list: one region, 8 backend servers of 3 slots, some entry VMs.
  *
- * It drives SasPlace_Create's policies with what an entry VM would know (own
- * requests, reports that came with answers) and compares them with a central
- * dispatcher that knows everything: "jsq" joins the shortest queue, "held"
- * too, but keeps what no server has room for in one queue. Times are
- * milliseconds from the arrival at the entry VM to the answer there; a request
- * that waits longer than --wait at its entry VM, or is shed --tries times, is
- * refused.
+ * Policies of SasPlace_Create see what an entry VM knows (its own requests and
+ * the load reports that came with answers). Two ideal dispatchers with
+ * complete knowledge are the baseline: "jsq" joins the shortest queue, "held"
+ * does too but keeps requests for which no server has a place in one central
+ * queue. Times are milliseconds from the arrival at the entry VM to the answer
+ * there. A request that waits longer than --wait at its entry VM, or is shed
+ * --tries times, is refused.
  */
 #include <glib.h>
 #include <math.h>
@@ -23,17 +23,17 @@
 #define MAX_NODES 16
 #define MAX_SEEDS 32
 #define MEAN_MS 20.0
-#define WAKE_MS 1.0
-#define COLD 4
-#define ENDLESS 1000000
+#define WAKE_MS 1.0   /* interval at which a waiting queue is tried again */
+#define COLD_FACTOR 4 /* factor on service times of a cold server */
+#define UNLIMITED 1000000
 
 struct run;
 
 struct event {
     double at;
     gint64 order;
-    void (*handle)(struct run *, int); /* of a job or a node */
-    int subject;
+    void (*handle)(struct run *, int);
+    int index; /* index of a job or a node */
 };
 
 struct job {
@@ -41,10 +41,10 @@
     double service;
     int node;
     int server;
-    int lender; /* node whose slot is used, or SasModel_NONE */
+    int lender; /* node that lent the place, or SasModel_NONE */
     int tries;
     unsigned shed_by; /* bit set of servers */
-    double report;    /* load stated with its answer */
+    double report;    /* load reported with its answer */
     double latency;   /* negative: refused */
 };
 
@@ -54,7 +54,7 @@
     double shed_at[SERVERS];
     struct sas_place_policy *policy;
     GQueue queue;
-    bool will_wake;
+    bool wake_pending;
 };
 
 struct sample {
@@ -65,8 +65,7 @@
 struct server {
     int running;
     GQueue queue;
-    int committed; /* sent and not yet answered, as only a central node knows
-                    */
+    int committed; /* sent by any node and not yet answered */
     int finished;
     GArray *history; /* of struct sample */
 };
@@ -78,21 +77,21 @@
     char *report;   /* honest, late, zero, one-zero, random */
     char *fault;    /* none, slow, cold */
     int queue;      /* of a server */
-    double wait_ms; /* longest wait at the entry VM */
-    double near_ms; /* one way, within a failure domain */
-    double far_ms;  /* and between two; also a message between entry VMs */
+    double wait_ms; /* maximum wait at the entry VM */
+    double near_ms; /* one-way delay within a failure domain */
+    double far_ms;  /* between failure domains and between entry VMs */
     int tries;
     int arrivals;
     int seeds;      /* runs */
-    double skew;    /* node 0 gets so many times the others' requests */
-    char *policies; /* parted by commas */
+    double skew;    /* node 0 gets skew times another's requests */
+    char *policies; /* separated by commas */
 };
 
 struct run {
     const struct options *options;
     const char *policy;
     bool is_central;
-    bool lends;
+    bool has_loans;
     int queue; /* of a server */
     double wait_ms;
     GRand *random;
@@ -109,10 +108,10 @@
 enum {
     P50,
     P99,
-    RATIO,    /* of the p99 to that of jsq */
+    RATIO,    /* p99 over that of jsq */
     ANSWERED, /* percent of the arrivals */
     SHEDS,    /* per 100 arrivals */
-    BUSIEST,  /* most finished by one server over the mean */
+    BUSIEST,  /* requests of the busiest server over the mean */
     RESULTS
 };
 
@@ -126,11 +125,10 @@
 }
 
 static void
-push(struct run *run, double at, void (*handle)(struct run *, int),
-     int subject)
+push(struct run *run, double at, void (*handle)(struct run *, int), int index)
 {
     struct event *event = g_new(struct event, 1);
-    *event = (struct event){at, run->order++, handle, subject};
+    *event = (struct event){at, run->order++, handle, index};
     g_sequence_insert_sorted(run->events, event, compare_events, NULL);
 }
 
@@ -142,7 +140,7 @@
 static void on_shed(struct run *run, int index);
 static void on_return(struct run *run, int index);
 
-/* The same list for every policy; node 0 gets skew times the others' share. */
+/* The same jobs for every policy; node 0 gets skew times another's. */
 static struct job *
 make_jobs(const struct options *options, guint32 seed)
 {
@@ -203,9 +201,9 @@
     return 0;
 }
 
-/* How much longer a server's requests take: server 0 has the fault. */
+/* Factor on a server's service times; server 0 has the fault. */
 static double
-get_slowness(const struct run *run, int server)
+get_service_factor(const struct run *run, int server)
 {
     const char *fault = run->options->fault;
     if (server == 0 && strcmp(fault, "slow") == 0) {
@@ -213,7 +211,7 @@
     }
     bool is_cold = server == 0 && strcmp(fault, "cold") == 0 &&
                    run->now < run->horizon / 2;
-    return is_cold ? COLD : 1;
+    return is_cold ? COLD_FACTOR : 1;
 }
 
 static int
@@ -224,7 +222,7 @@
         struct sas_place_server *server = &node->view[i];
         double age = run->now - node->reported_at[i];
         server->usable = (job->shed_by >> i & 1) == 0;
-        server->cold = get_slowness(run, i) == COLD;
+        server->cold = get_service_factor(run, i) == COLD_FACTOR;
         server->shed_lately = run->now - node->shed_at[i] < SasPlace_SHED_MS;
         server->report_age_ms = node->reported_at[i] < 0 ? -1 : (int64_t)age;
         if (run->is_central) {
@@ -236,12 +234,12 @@
     return node->policy->pick(node->policy, node->view, SERVERS, run->random);
 }
 
-/* An idealised loan: the borrower sees at once who has an idle place and no
- * queue, and pays one message for it. */
+/* An ideal loan: the borrower knows which nodes have a free place and no
+ * queue, and the loan costs the delay of one message. */
 static int
 borrow(struct run *run, struct job *job)
 {
-    for (int k = 0; run->lends && k < SERVERS * run->options->nodes; k++) {
+    for (int k = 0; run->has_loans && k < SERVERS * run->options->nodes; k++) {
         int server = k % SERVERS;
         struct node *lender = &run->nodes[k / SERVERS];
         struct sas_place_server *view = &lender->view[server];
@@ -258,7 +256,7 @@
 }
 
 static bool
-place(struct run *run, int index)
+dispatch(struct run *run, int index)
 {
     struct job *job = &run->jobs[index];
     int server = pick(run, job);
@@ -279,7 +277,7 @@
 }
 
 static void
-drain(struct run *run, int index)
+dispatch_queue(struct run *run, int index)
 {
     struct node *node = &run->nodes[run->is_central ? 0 : index];
     while (node->queue.length > 0) {
@@ -287,13 +285,13 @@
         if (run->now - run->jobs[head].arrival > run->wait_ms) {
             run->jobs[head].latency = -1;
         }
-        else if (!place(run, head)) {
+        else if (!dispatch(run, head)) {
             break;
         }
         g_queue_pop_head(&node->queue);
     }
-    if (node->queue.length > 0 && !node->will_wake) {
-        node->will_wake = true;
+    if (node->queue.length > 0 && !node->wake_pending) {
+        node->wake_pending = true;
         push(run, run->now + WAKE_MS, on_wake, (int)(node - run->nodes));
     }
 }
@@ -301,8 +299,8 @@
 static void
 on_wake(struct run *run, int index)
 {
-    run->nodes[index].will_wake = false;
-    drain(run, index);
+    run->nodes[index].wake_pending = false;
+    dispatch_queue(run, index);
 }
 
 static void
@@ -314,14 +312,14 @@
     }
     int node = run->is_central ? 0 : job->node;
     g_queue_push_tail(&run->nodes[node].queue, GINT_TO_POINTER(index));
-    drain(run, node);
+    dispatch_queue(run, node);
 }
 
 static void
 serve(struct run *run, int index)
 {
     struct job *job = &run->jobs[index];
-    double ms = job->service * get_slowness(run, job->server);
+    double ms = job->service * get_service_factor(run, job->server);
     run->servers[job->server].running++;
     push(run, run->now + ms, on_served, index);
 }
@@ -359,9 +357,9 @@
     push(run, run->now + get_delay(run, job), on_answer, index);
 }
 
-/* The entry VM learns the server's load, and a lent place goes home. */
+/* The node applies the server's load report and returns a borrowed place. */
 static void
-learn(struct run *run, int index, double report)
+apply_report(struct run *run, int index, double report)
 {
     struct job *job = &run->jobs[index];
     struct node *node = &run->nodes[job->node];
@@ -381,26 +379,26 @@
 {
     struct job *job = &run->jobs[index];
     job->latency = run->now - job->arrival;
-    learn(run, index, job->report);
-    drain(run, job->node);
+    apply_report(run, index, job->report);
+    dispatch_queue(run, job->node);
 }
 
 static void
 on_shed(struct run *run, int index)
 {
     struct job *job = &run->jobs[index];
-    learn(run, index, SLOTS + run->queue);
+    apply_report(run, index, SLOTS + run->queue);
     job->shed_by |= 1U << job->server;
     run->nodes[job->node].shed_at[job->server] = run->now;
     job->lender = SasModel_NONE;
     if (job->tries >= run->options->tries) {
         job->latency = -1;
     }
-    else if (!place(run, index)) {
+    else if (!dispatch(run, index)) {
         g_queue_push_head(&run->nodes[job->node].queue,
                           GINT_TO_POINTER(index));
     }
-    drain(run, job->node);
+    dispatch_queue(run, job->node);
 }
 
 static void
@@ -408,7 +406,7 @@
 {
     struct job *job = &run->jobs[index];
     run->nodes[job->lender].view[job->server].own_share++;
-    drain(run, job->lender);
+    dispatch_queue(run, job->lender);
 }
 
 static void
@@ -417,12 +415,12 @@
     const struct options *options = run->options;
     bool is_jsq = strcmp(run->policy, "jsq") == 0;
     run->is_central = is_jsq || strcmp(run->policy, "held") == 0;
-    run->lends = strcmp(run->policy, "owned+loan") == 0;
-    run->queue = is_jsq ? ENDLESS : options->queue;
-    run->wait_ms = is_jsq ? ENDLESS : options->wait_ms;
-    const char *name = run->is_central ? "least-load"
-                       : run->lends    ? "owned"
-                                       : run->policy;
+    run->has_loans = strcmp(run->policy, "owned+loan") == 0;
+    run->queue = is_jsq ? UNLIMITED : options->queue;
+    run->wait_ms = is_jsq ? UNLIMITED : options->wait_ms;
+    const char *name = run->is_central  ? "least-load"
+                       : run->has_loans ? "owned"
+                                        : run->policy;
     run->events = g_sequence_new(g_free);
     for (int i = 0; i < SERVERS; i++) {
         run->servers[i].history =
@@ -462,7 +460,7 @@
     g_rand_free(run->random);
 }
 
-/* The first tenth warms up and does not count. */
+/* The first 10% of the arrivals are the warm-up and do not count. */
 static void
 evaluate(const struct run *run, double *results)
 {
@@ -505,13 +503,13 @@
         struct event event = *(struct event *)g_sequence_get(first);
         g_sequence_remove(first);
         run->now = event.at;
-        event.handle(run, event.subject);
+        event.handle(run, event.index);
     }
     evaluate(run, results);
     tear_down(run);
 }
 
-/* Mean, lowest and highest over the seeds. */
+/* Prints mean, minimum and maximum over the seeds. */
 static void
 print_policy(const struct options *options, const char *policy,
              const double *jsq_p99)
--- a/tools/load/place_matrix.sh
+++ b/tools/load/place_matrix.sh
@@ -1,7 +1,10 @@
 #!/bin/bash
-# Runs every measurement of docs/notes-placement.md; $1 is place_driver, $2
-# the directory for the results, $3 how many to run at a time (3), $4 the
-# policies where not all are wanted.
+# Runs the simulations of docs/notes-placement.md.
+#
+#     place_matrix.sh DRIVER DIRECTORY [JOBS [POLICIES]]
+#
+# DRIVER is the place_driver program, DIRECTORY gets one file per run, JOBS is
+# the number of parallel runs (3), POLICIES replaces every list of policies.
 set -eu
 driver=$1
 out=$2
--- a/tools/load/results.h
+++ b/tools/load/results.h
@@ -1,8 +1,8 @@
-/* results - what became of the requests of a load run, and how it is shown.
+/* results - outcomes and latencies of a load run, and their table.
  *
- * Every request ends once: Results_AddAnswer for a whole answer,
- * Results_AddError for none. Names (of regions, backend servers, reasons) are
- * copied. The struct belongs to the caller.
+ * Each request is added once: Results_AddAnswer for a complete answer,
+ * Results_AddError otherwise. Names (of regions, backend servers, reasons) are
+ * copied. The caller owns the struct.
  */
 #ifndef RESULTS_H
 #define RESULTS_H
@@ -16,7 +16,7 @@
 
 struct results {
     int64_t planned;
-    int64_t bytes;            /* of answers' bodies */
+    int64_t bytes;            /* of good answers' bodies */
     struct histogram latency; /* of good answers, from the planned arrival */
     GHashTable *regions;      /* name to struct histogram */
     GHashTable *backends;     /* name to struct histogram */
@@ -28,7 +28,7 @@
     int status;
     int64_t bytes;
     double latency_ms;
-    const char *region; /* "" where the answer does not say */
+    const char *region; /* these four: Sas- headers, "" if missing */
     const char *backend;
     const char *reason;
     const char *outcome;
@@ -37,13 +37,16 @@
 void Results_Init(struct results *results);
 void Results_Close(struct results *results);
 
-/* 2xx counts as good; every other status as a refusal. */
+/* 2xx counts as good, any other status as a refusal. */
 void Results_AddAnswer(struct results *results, const struct answer *answer);
+/* No complete or correct answer; counted by text. */
 void Results_AddError(struct results *results, const char *text);
 
+/* Writes the table to standard output; seconds: length of the run. */
 void Results_Print(const struct results *results, double seconds);
 
-/* One line for each group: kind,name,count,per_s,p50,p90,p99,max. */
+/* Writes the same table as CSV, one line per group, times in ms:
+ * kind,name,count,per_s,p50_ms,p90_ms,p99_ms,max_ms. */
 void Results_WriteCsv(const struct results *results, double seconds,
                       FILE *file);
 
--- a/tools/load/sample.c
+++ b/tools/load/sample.c
@@ -2,8 +2,8 @@
 
 #include <math.h>
 
-#define LOWEST_MS 0.001
-#define RATIO 1.005
+#define LOWEST_MS 0.001    /* lower end of bucket 0, which has all below too */
+#define BUCKET_RATIO 1.005 /* upper end to lower end of a bucket */
 
 double
 Sample_DrawExponential(GRand *random, double mean)
@@ -23,7 +23,8 @@
 void
 Histogram_Add(struct histogram *histogram, double ms)
 {
-    int i = ms <= LOWEST_MS ? 0 : (int)(log(ms / LOWEST_MS) / log(RATIO));
+    int i =
+        ms <= LOWEST_MS ? 0 : (int)(log(ms / LOWEST_MS) / log(BUCKET_RATIO));
     histogram->counts[MIN(i, SAMPLE_BUCKETS - 1)]++;
     histogram->total++;
     histogram->max = fmax(histogram->max, ms);
@@ -42,12 +43,13 @@
 double
 Histogram_GetQuantile(const struct histogram *histogram, double share)
 {
-    int64_t wanted = (int64_t)ceil(share * (double)histogram->total);
-    int64_t seen = 0;
+    int64_t rank = (int64_t)ceil(share * (double)histogram->total);
+    int64_t count = 0;
     for (int i = 0; i < SAMPLE_BUCKETS && histogram->total > 0; i++) {
-        seen += histogram->counts[i];
-        if (seen >= wanted) {
-            return fmin(LOWEST_MS * pow(RATIO, i + 0.5), histogram->max);
+        count += histogram->counts[i];
+        if (count >= rank) {
+            return fmin(LOWEST_MS * pow(BUCKET_RATIO, i + 0.5),
+                        histogram->max);
         }
     }
     return histogram->max;
--- a/tools/load/sample.h
+++ b/tools/load/sample.h
@@ -1,7 +1,7 @@
-/* sample - random draws and a histogram for the measuring programs.
+/* sample - random draws and a latency histogram for the measuring programs.
  *
- * The histogram has buckets of equal ratio, so that every quantile is off by
- * at most half a bucket (0.25 %) between 1 microsecond and 1 hour. Values are
+ * The histogram has logarithmic buckets (ratio 1.005): between 1 microsecond
+ * and 1 hour a quantile is off by at most half a bucket (0.25 %). Values are
  * milliseconds. Random numbers come from the caller's GRand.
  */
 #ifndef SAMPLE_H
@@ -20,14 +20,13 @@
 
 double Sample_DrawExponential(GRand *random, double mean);
 
-/* Sigma of the logarithm; the mean is that of the values. */
+/* mean: of the values; sigma: of their logarithm. */
 double Sample_DrawLognormal(GRand *random, double mean, double sigma);
 
 void Histogram_Add(struct histogram *histogram, double ms);
 void Histogram_Merge(struct histogram *into, const struct histogram *from);
 
-/* The value that this share (0 to 1) of the values stays under; 0 when there
- * are none. */
+/* Quantile for a share from 0 to 1; 0 for an empty histogram. */
 double Histogram_GetQuantile(const struct histogram *histogram, double share);
 
 #endif
--- a/tools/load/tests/test_load.py
+++ b/tools/load/tests/test_load.py
@@ -1,5 +1,5 @@
 #!/usr/bin/python3
-"""Tests that the load generator's table tells what the servers did."""
+"""Tests of the load generator: its table against the servers' counts."""
 
 import csv
 import http.client
@@ -31,7 +31,7 @@
         self.process.stdout.close()
 
     def load(self, *arguments, weights=(1, 1)):
-        """Returns {kind: {name: count}} and the number planned."""
+        """Returns {kind: {name: count}} and the number of planned requests."""
         targets = [f"--target=127.0.0.1:{port}:{weight}"
                    for port, weight in zip(self.ports, weights)]
         with tempfile.TemporaryDirectory() as directory:
@@ -56,7 +56,7 @@
         connection.close()
         return value
 
-    def test_every_planned_request_is_accounted_for(self):
+    def test_every_planned_request_is_counted_once(self):
         table, planned = self.load("--rate=500", "--duration=0.5",
                                    "--path=/?ms=1", "--check", "--once")
         self.assertGreater(planned, 150)
@@ -67,18 +67,18 @@
         self.assertEqual(sum(finished), planned)
         self.assertEqual(len(counts["keys"]), planned)
 
-    def test_one_seed_plans_the_same_requests(self):
+    def test_same_seed_plans_the_same_requests(self):
         arguments = ("--rate=300", "--duration=0.3", "--mean-ms=1",
                      "--seed=5")
         self.assertEqual(self.load(*arguments)[1], self.load(*arguments)[1])
 
-    def test_weights_skew_the_targets(self):
+    def test_targets_are_chosen_by_weight(self):
         _, planned = self.load("--rate=500", "--duration=0.5",
                                "--path=/?ms=0", weights=(1, 9))
         first = self.counts()["servers"]["d-01"]["finished"]
         self.assertLess(first, planned / 5)
 
-    def test_faults_are_told_apart(self):
+    def test_faults_are_counted_by_kind(self):
         for fault, text in (("cut-chunked", "cut"), ("short", "cut"),
                             ("reset-mid", "reset"), ("hang", "timeout")):
             table, planned = self.load(
@@ -86,17 +86,17 @@
                 "--path=/?ms=0&fault=" + fault)
             self.assertEqual(table["error"], {text: planned}, fault)
 
-    def test_refusals_carry_status_and_outcome(self):
+    def test_refusals_are_counted_by_status(self):
         table, planned = self.load("--rate=100", "--duration=0.2",
                                    "--path=/?ms=0&status=404")
         self.assertEqual(table["refusal"], {"404": planned})
 
-    def test_wrong_answers_are_seen(self):
+    def test_wrong_answers_are_errors(self):
         table, planned = self.load("--rate=100", "--duration=0.2",
                                    "--check", "--path=/?ms=0&bytes=3")
         self.assertEqual(table["error"], {"wrong answer": planned})
 
-    def test_closed_loop_keeps_connections(self):
+    def test_closed_loop_reuses_connections(self):
         table, _ = self.load("--closed=4", "--duration=0.2",
                              "--path=/?ms=0")
         self.assertEqual(list(table), ["all"])
--- a/tools/load/tests/test_sample.c
+++ b/tools/load/tests/test_sample.c
@@ -24,7 +24,7 @@
 }
 
 static void
-test_extremes_and_emptiness(void **state)
+test_extreme_values_and_empty_histogram(void **state)
 {
     (void)state;
     g_autofree struct histogram *histogram = g_new0(struct histogram, 1);
@@ -36,7 +36,7 @@
 }
 
 static void
-test_draws_have_their_mean(void **state)
+test_draws_have_the_given_mean(void **state)
 {
     (void)state;
     g_autoptr(GRand) random = g_rand_new_with_seed(3);
@@ -55,8 +55,8 @@
 {
     const struct CMUnitTest tests[] = {
         cmocka_unit_test(test_quantiles_are_within_half_a_bucket),
-        cmocka_unit_test(test_extremes_and_emptiness),
-        cmocka_unit_test(test_draws_have_their_mean),
+        cmocka_unit_test(test_extreme_values_and_empty_histogram),
+        cmocka_unit_test(test_draws_have_the_given_mean),
     };
     return cmocka_run_group_tests(tests, NULL, NULL);
 }
