--- a/tools/demo.py
+++ b/tools/demo.py
@@ -1,13 +1,14 @@
 #!/usr/bin/python3
-"""A short morning of Groupe Hottes Laurentides at its sizes of today.
+"""Demo: 28 seconds of Groupe Hottes Laurentides at its current size.
 
 Usage: demo.py [--build build]
 
-Starts 9 entry VMs, 24 and 12 backend servers in 3 regions as separate
-processes on loopback, puts a sheet by sassafrassillctl, lets callers send
-requests meanwhile, and compares what the sheet ordered with what happened.
-Exit status 0: every row of the table held; 1: not every one; 130: stopped.
-It ends by itself within LIMIT_S seconds and leaves no process behind.
+Starts 9 entry VMs and 24 + 12 backend servers in 3 regions as separate
+processes on loopback, puts a sheet with sassafrassillctl while callers send
+requests, and prints a table of what was ordered against what happened.
+Exit status 0: every row of the table held; 1: some row did not hold, or the
+time limit was reached; 130: interrupted. Ends within LIMIT_S seconds and stops
+all its processes.
 """
 
 import argparse
@@ -27,23 +28,23 @@
 LIMIT_S = 45
 CLEANUP_S = 2
 
-# Who asks how much. Every caller asks about once in PACE_S.
+# The load. Each caller sends about one request per INTERVAL_S.
 DOSSIERS_CALLERS = 160  # of Montreal
 GALERIE_CALLERS = 16
 OTHER_CALLERS = 20  # of Quebec City and of Saguenay, each
 CALLERS_PER_THREAD = 4
-PACE_S = 1.0
-NOTE_EVERY = 8  # every n-th request of a dossiers caller is a note,
-VISIT_EVERY = 16  # and of these every second a visit that is billed
+INTERVAL_S = 1.0
+NOTE_EVERY = 8  # about every 8th dossiers request posts a note,
+VISIT_EVERY = 16  # every other one of them a visit, which is billed
 PHOTO_BYTES = 200000
 RECORD_BYTES = 3000
 
-# The morning, in seconds after the sheet was accepted.
+# The schedule, in seconds after the sheet was accepted.
 SHIFT_AT = 2
 RAMP_S = 4
 SHIFT_FULL = SHIFT_AT + RAMP_S + 2
 SHARE_PERCENT = 30
-CAP = 20  # req/s, under half of what the share alone would carry
+CAP = 20  # req/s, less than half of the rate of the share without a cap
 DRAIN_AT = 8
 LEAVING = "dossiers-montreal-03"
 DRAIN_GRACE_S = 5
@@ -58,19 +59,19 @@
 """.format(shift=SHIFT_AT, share=SHARE_PERCENT, cap=CAP, ramp=RAMP_S,
            drain=DRAIN_AT, leaving=LEAVING)
 
-# Longer than a look-up lives while a shift is near (SasLookup in the core).
+# Longer than the TTL of lookups while a shift is near (SasLookup in the core).
 DRAIN_NOTICE_MS = 8000
 UPLOADS = 6
 UPLOAD_BYTES = 2000000
 UPLOAD_PARTS = 20
-UPLOAD_PART_S = 0.7  # of the slow ones: they outlast DRAIN_NOTICE_MS
-UPLOAD_RUN_MS = 9000  # of the fast ones, at the backend server
+UPLOAD_PART_S = 0.7  # per part: slow uploads outlast DRAIN_NOTICE_MS
+UPLOAD_RUN_MS = 9000  # service time of the fast uploads
 
-# Bounds of the table, wide enough for a busy machine.
+# Limits of the table, wide enough for a busy machine.
 TIMEOUT_S = 15
 CAP_WINDOW_S = 5
-CAP_SLACK_S = 1  # a request may wait that long between sending and its slot
-SHARE_SLACK = 6  # percent; callers move by whole networks
+CAP_SLACK_S = 1  # a request may wait this long between sending and its slot
+SHARE_SLACK = 6  # percent; callers move in blocks
 P50_LIMIT_MS = 500
 P99_LIMIT_MS = 3000
 REFUSED_LIMIT = 0.01
@@ -82,25 +83,25 @@
 Row = collections.namedtuple("Row", "what ordered happened held")
 
 
-class Journal:
-    """What all callers saw; appending is atomic."""
+class Results:
+    """Results of all callers; list appends are atomic across threads."""
 
     def __init__(self):
         self.records = []
         self.uploads = []
         self.lookups = []
-        self.closed_doors = []
-        self.over = threading.Event()
+        self.refused_connections = []
+        self.ended = threading.Event()
 
 
 class Caller:
-    """Looks up its entry VMs, keeps the answer for its lifetime, asks."""
+    """Looks up entry VMs, caches the answer for its TTL, sends requests."""
 
     numbers = itertools.count()
 
-    def __init__(self, deployment, journal, home, service, network):
+    def __init__(self, deployment, results, home, service, network):
         self.deployment = deployment
-        self.journal = journal
+        self.results = results
         self.home = home
         self.service = service
         self.source = deployment.caller_ip(home, network << 8 | 1)
@@ -112,8 +113,8 @@
         self.expires = 0
 
     def connect(self, vms):
-        """The first entry VM whose port is open: nothing was sent to the
-        others, so to go on is safe."""
+        """Connects to the first entry VM that accepts. Trying the next one is
+        safe: nothing was sent to those that refused."""
         for name, address in vms:
             connection = http.client.HTTPConnection(
                 *address, timeout=TIMEOUT_S, source_address=(self.source, 0))
@@ -122,8 +123,8 @@
                 return name, connection
             except ConnectionRefusedError:
                 connection.close()
-                self.journal.closed_doors.append(name)
-        raise ConnectionRefusedError("no entry VM of the look-up is open")
+                self.results.refused_connections.append(name)
+        raise ConnectionRefusedError("no entry VM of the lookup accepts")
 
     def look_up(self):
         now = time.time()
@@ -138,7 +139,7 @@
         self.vms = [(vm["name"], (vm["ip"], vm["port"]))
                     for vm in answer["vms"]]
         self.expires = now + answer["lifetime_s"]
-        self.journal.lookups.append(
+        self.results.lookups.append(
             Lookup(now, self.home, self.service, answer["region"]))
 
     def ask(self):
@@ -154,9 +155,9 @@
                         RECORD_BYTES)
 
     def get(self, target, size):
-        whole = (target * (size // len(target) + 1))[:size].encode()
+        complete = (target * (size // len(target) + 1))[:size].encode()
         return self.exchange("GET", target, None, None,
-                             lambda body: body == whole)
+                             lambda body: body == complete)
 
     def post(self, target, key):
         body = b"the hood of %s was opened" % target.encode()
@@ -168,7 +169,7 @@
 
         return self.exchange("POST", target, body, key, is_own)
 
-    def exchange(self, method, target, body, key, is_whole,
+    def exchange(self, method, target, body, key, is_complete,
                  send=http.client.HTTPConnection.request):
         sent = time.time()
         vm = answer = fault = None
@@ -184,7 +185,7 @@
                 data = answer.read()
             finally:
                 connection.close()
-            if answer.status == 200 and not is_whole(data):
+            if answer.status == 200 and not is_complete(data):
                 fault = "wrong answer"
         except (OSError, http.client.HTTPException, ValueError) as error:
             fault = "%s: %s" % (type(error).__name__, error)
@@ -209,16 +210,16 @@
 xxhash = load_xxhash()
 
 
-def play_callers(callers, journal):
-    """One thread plays several callers, each at its pace."""
-    due = [time.time() + PACE_S * index / len(callers)
+def run_callers(callers, results):
+    """Runs several callers on one thread, each at its rate."""
+    due = [time.time() + INTERVAL_S * index / len(callers)
            for index in range(len(callers))]
-    while not journal.over.is_set():
+    while not results.ended.is_set():
         index = due.index(min(due))
-        if journal.over.wait(max(0, due[index] - time.time())):
+        if results.ended.wait(max(0, due[index] - time.time())):
             return
-        journal.records.append(callers[index].ask())
-        due[index] = max(due[index] + PACE_S, time.time())
+        results.records.append(callers[index].ask())
+        due[index] = max(due[index] + INTERVAL_S, time.time())
 
 
 def send_slowly(connection, method, path, body, headers):
@@ -233,8 +234,8 @@
         time.sleep(UPLOAD_PART_S)
 
 
-def upload(caller, number, journal):
-    """Sends a photo, slowly or at once, and reads the whole answer."""
+def upload(caller, number, results):
+    """Sends a photo, slowly or at once, and checks the answer's hash."""
     body = bytes((index * 7 + number) & 255 for index in range(256)) * (
         UPLOAD_BYTES // 256)
     slow = number % 2 == 0
@@ -245,17 +246,17 @@
     def is_own(answer):
         return json.loads(answer)["body_hash"] == hash_body(body)
 
-    journal.uploads.append(caller.exchange(
+    results.uploads.append(caller.exchange(
         "POST", target, body, None, is_own,
         send_slowly if slow else http.client.HTTPConnection.request))
 
 
-class Morning:
-    """The demo's one run."""
+class Demo:
+    """One run of the demo."""
 
     def __init__(self, deployment):
         self.deployment = deployment
-        self.journal = Journal()
+        self.results = Results()
         self.threads = []
         self.rows = []
         self.accepted = 0
@@ -303,16 +304,16 @@
 
     def start_callers(self):
         d = self.deployment
-        callers = [Caller(d, self.journal, "montreal", "dossiers", network)
+        callers = [Caller(d, self.results, "montreal", "dossiers", network)
                    for network in range(DOSSIERS_CALLERS)]
-        callers += [Caller(d, self.journal, "montreal", "galerie", network)
+        callers += [Caller(d, self.results, "montreal", "galerie", network)
                     for network in range(GALERIE_CALLERS)]
         for home in ("quebec", "saguenay"):
-            callers += [Caller(d, self.journal, home, "dossiers", network)
+            callers += [Caller(d, self.results, home, "dossiers", network)
                         for network in range(OTHER_CALLERS)]
         for start in range(0, len(callers), CALLERS_PER_THREAD):
-            self.start(play_callers, callers[start:start + CALLERS_PER_THREAD],
-                       self.journal)
+            self.start(run_callers, callers[start:start + CALLERS_PER_THREAD],
+                       self.results)
 
     def wait_for(self, second, what):
         time.sleep(max(0, self.accepted + second - time.time()))
@@ -321,54 +322,55 @@
     def count_started(self, name):
         return self.deployment.counts()[name]["started"]
 
-    # The morning.
+    # The schedule.
 
     def run(self):
         self.put_sheet()
         self.start_callers()
         self.wait_for(SHIFT_AT, "the shift begins")
-        self.wait_for(DRAIN_AT, LEAVING + " is to leave")
+        self.wait_for(DRAIN_AT, "the drain of " + LEAVING + " begins")
         self.wait_for(UPLOADS_AT, "%d uploads begin" % UPLOADS)
         for number in range(UPLOADS):
-            caller = Caller(self.deployment, self.journal, "montreal",
+            caller = Caller(self.deployment, self.results, "montreal",
                             "galerie", number)
             caller.look_up()
             if self.stopped is None:
                 self.stopped = caller.vms[0][0]
             caller.vms.sort(key=lambda vm: vm[0] != self.stopped)
-            self.start(upload, caller, number, self.journal)
+            self.start(upload, caller, number, self.results)
         self.wait_for(STOP_AT, "SIGTERM to " + self.stopped)
         self.deployment.kill(self.stopped, signal.SIGTERM)
-        self.wait_for(DRAIN_AT + DRAIN_GRACE_S, "nothing new to " + LEAVING)
+        self.wait_for(DRAIN_AT + DRAIN_GRACE_S,
+                      "no new requests to " + LEAVING)
         started = self.count_started(LEAVING)
         self.stop_status = self.deployment.nodes[self.stopped].wait(
             self.accepted + END_AT - time.time())
         self.wait_for(0, self.stopped + " has ended with status %d" %
                       self.stop_status)
         self.wait_for(END_AT, "the callers stop")
-        self.journal.over.set()
+        self.results.ended.set()
         for thread in self.threads:
             thread.join(TIMEOUT_S)
-        self.judge_shift()
-        self.judge_drain(self.count_started(LEAVING) - started)
-        self.judge_stop()
-        self.judge_answers()
+        self.check_shift()
+        self.check_drain(self.count_started(LEAVING) - started)
+        self.check_stop()
+        self.check_answers()
 
     # The table.
 
     def add(self, what, ordered, happened, held):
         self.rows.append(Row(what, ordered, happened, held))
 
-    def judge_shift(self):
-        lookups = [row for row in self.journal.lookups
+    def check_shift(self):
+        lookups = [row for row in self.results.lookups
                    if row.made > self.accepted + SHIFT_FULL and
                    (row.home, row.service) == ("montreal", "dossiers")]
         moved = sum(row.region == "quebec" for row in lookups)
         percent = 100 * moved / max(len(lookups), 1)
-        self.add("share of montreal's look-ups to quebec",
+        self.add("share of montreal's lookups to quebec",
                  "%d%%" % SHARE_PERCENT, "%.1f%%" % percent,
                  SHARE_PERCENT / 2 <= percent <= SHARE_PERCENT + SHARE_SLACK)
-        times = sorted(row.sent for row in self.journal.records
+        times = sorted(row.sent for row in self.results.records
                        if (row.home, row.service, row.region) ==
                        ("montreal", "dossiers", "quebec"))
         busiest = max((sum(start <= at < start + CAP_WINDOW_S for at in times)
@@ -382,41 +384,42 @@
                  "%.1f req/s" % (len(full) / seconds),
                  0 < len(full) <= CAP * (seconds + CAP_SLACK_S))
 
-    def judge_drain(self, late):
-        last = max((row.sent for row in self.journal.records
+    def check_drain(self, late):
+        last = max((row.sent for row in self.results.records
                     if row.backend == LEAVING), default=0)
         self.add("last request to " + LEAVING,
                  "leaves at +%d s" % DRAIN_AT,
                  "at +%.1f s" % (last - self.accepted) if last else "none",
                  last <= self.accepted + DRAIN_AT + DRAIN_GRACE_S)
-        self.add("work it began %d s after that" % DRAIN_GRACE_S, "0",
+        self.add("requests it started %d s after that" % DRAIN_GRACE_S, "0",
                  str(late), late == 0)
 
-    def judge_stop(self):
+    def check_stop(self):
         self.add("exit status of " + self.stopped, "0 (graceful)",
                  str(self.stop_status), self.stop_status == 0)
-        whole = [row for row in self.journal.uploads
-                 if row.status == 200 and row.fault is None]
-        there = sum(row.vm == self.stopped for row in self.journal.uploads)
-        self.add("uploads over its stop, whole by their hash",
+        complete = [row for row in self.results.uploads
+                    if row.status == 200 and row.fault is None]
+        on_stopped = sum(row.vm == self.stopped
+                         for row in self.results.uploads)
+        self.add("uploads across its stop, complete by hash",
                  "%d of %d" % (UPLOADS, UPLOADS),
-                 "%d of %d" % (len(whole), there),
-                 len(whole) == there == UPLOADS)
-        everything = self.journal.records + self.journal.uploads
-        cut = [row for row in everything
-               if row.vm == self.stopped and row.fault]
-        self.add("requests that the stop cut off", "0", str(len(cut)),
-                 not cut)
-        for row in cut[:5]:
+                 "%d of %d" % (len(complete), on_stopped),
+                 len(complete) == on_stopped == UPLOADS)
+        everything = self.results.records + self.results.uploads
+        broken = [row for row in everything
+                  if row.vm == self.stopped and row.fault]
+        self.add("requests that the stop broke", "0", str(len(broken)),
+                 not broken)
+        for row in broken[:5]:
             print("        %s after %.1f s" % (row.fault, row.done - row.sent))
 
-    def judge_answers(self):
-        records = self.journal.records
+    def check_answers(self):
+        records = self.results.records
         faults = [row.fault for row in records if row.fault]
-        whole = [row for row in records
-                 if row.status == 200 and row.fault is None]
-        self.add("answers that were cut or another's", "0 of %d" %
-                 len(records), str(len(faults)), not faults and whole)
+        complete = [row for row in records
+                    if row.status == 200 and row.fault is None]
+        self.add("requests that failed or got another's answer", "0 of %d" %
+                 len(records), str(len(faults)), not faults and complete)
         for fault in sorted(set(faults))[:5]:
             print("        " + fault)
         refused = [row for row in records
@@ -432,21 +435,22 @@
         keys = [row.key for row in refused
                 if row.key and row.outcome == "not-run"]
         ran = sum(self.deployment.count_key(key) for key in keys)
-        self.add("told \"not run\" but ran",
+        self.add("refused as \"not run\" but ran",
                  "0 of %d" % len(keys), str(ran), ran == 0)
         visits = {row.key for row in records
                   if row.key and row.key.startswith("visit")}
-        twice = self.count_twice(visits)
+        twice = self.count_repeated(visits)
         self.add("billed visits that ran twice", "0 of %d" % len(visits),
                  str(twice), twice == 0 and visits)
-        times = sorted(row.done - row.sent for row in whole) or [float("inf")]
+        times = sorted(row.done - row.sent
+                       for row in complete) or [float("inf")]
         for name, share, limit in (("p50", 0.5, P50_LIMIT_MS),
                                    ("p99", 0.99, P99_LIMIT_MS)):
             ms = 1000 * times[int(share * (len(times) - 1))]
-            self.add("time to a whole answer, " + name,
+            self.add("latency, " + name,
                      "under %d ms" % limit, "%.1f ms" % ms, ms < limit)
 
-    def count_twice(self, keys):
+    def count_repeated(self, keys):
         started = collections.Counter()
         for counts in self.deployment.counts_by_key():
             started.update({key: row["started"]
@@ -463,10 +467,11 @@
         for row in rows:
             cells = [row[column].ljust(widths[column]) for column in range(3)]
             print("  ".join(cells + [row.held]).rstrip())
-        print("\n%d requests, %d look-ups; %d connections found a closed port "
-              "and went to the next entry VM of their look-up" %
-              (len(self.journal.records) + len(self.journal.uploads),
-               len(self.journal.lookups), len(self.journal.closed_doors)))
+        print("\n%d requests, %d lookups; %d connections were refused and "
+              "went to the next entry VM of the lookup" %
+              (len(self.results.records) + len(self.results.uploads),
+               len(self.results.lookups),
+               len(self.results.refused_connections)))
 
 
 def stop(number, frame):
@@ -495,17 +500,17 @@
     deployment.build = build
     print("Starting 9 entry VMs, 24 + 12 backend servers, 3 regions ...",
           flush=True)
-    morning = Morning(deployment)
+    demo = Demo(deployment)
     try:
         with deployment:
-            morning.run()
+            demo.run()
     except KeyboardInterrupt as error:
         print("stopped: " + (str(error) or "SIGINT"))
         return 1 if str(error) == "SIGALRM" else 130
     finally:
-        morning.journal.over.set()
-    morning.print_table()
-    held = all(row.held for row in morning.rows)
+        demo.results.ended.set()
+    demo.print_table()
+    held = all(row.held for row in demo.rows)
     print("All rows held." if held else "NOT every row held.")
     return 0 if held else 1
 
--- a/tools/experiment.py
+++ b/tools/experiment.py
@@ -1,5 +1,5 @@
 #!/usr/bin/python3
-"""Runs the real processes at the brief's sizes under a matrix of settings.
+"""Measures goodput and latency of real processes for a matrix of settings.
 
     tools/experiment.py [--build build] [--csv out.csv] [--seconds 8]
         [--runs 1] [--vary placement=least-load,cone]
@@ -8,8 +8,10 @@
 Each run starts the platform's stand-in, the backend servers of one service
 (three regions of 8 servers with 3 slots, 1 ms away), nine entry VMs and the
 open-loop load generator, which spreads its requests over the entry VMs by
---skew. One row a run: goodput, latency from the planned arrival on, refusals,
-the busiest region against its slots, and the entry VMs' processor time.
+--skew. Prints one row per run: goodput, latency from the planned arrival,
+refusals, the peak load of the busiest region against its slots, and the entry
+VMs' CPU time per 1000 good answers. The CPU time includes the warm-up of 2 s,
+the answers don't.
 """
 
 import argparse
@@ -23,7 +25,7 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.abspath(__file__)))
 sys.path.insert(0, os.path.join(ROOT, "tests", "e2e"))
 
-SLOTS = 24  # a region
+SLOTS = 24  # per region
 REGIONS = ("montreal", "quebec", "saguenay")
 COLUMNS = ["load", "good_per_s", "good_percent", "p50_ms", "p90_ms",
            "p99_ms", "refused", "shed", "peak", "slots", "cpu_ms_per_1000"]
@@ -40,11 +42,12 @@
     parser.add_argument("--skew", default="1",
                         help="weight of the first entry VM of each region")
     parser.add_argument("--standin", default="",
-                        help="more arguments of the backend stand-ins")
+                        help="additional arguments of the backend stand-ins")
     parser.add_argument("--vary", action="append", default=[],
-                        help="KEY=VALUE,VALUE of [limits] or placement")
+                        help="KEY=VALUE,VALUE: a key of [limits] or "
+                        "placement, and the values to run")
     parser.add_argument("--report", default="honest",
-                        help="what backend servers say of their load: "
+                        help="load that backend servers report: "
                         "honest, zero, random")
     parser.add_argument("--regions", type=int, default=3)
     return parser.parse_args()
--- a/tools/format.sh
+++ b/tools/format.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Checks the formatting of all C sources; --fix rewrites them.
+# Checks the formatting of all C and C++ sources; --fix reformats them.
 set -eu
 cd "$(dirname "$0")/.."
 mode=(--dry-run --Werror)
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Runs clang-tidy and cppcheck over the sources of the build in $1.
+# Runs clang-tidy and cppcheck on the C sources; $1 is the build folder (build).
 set -eu
 cd "$(dirname "$0")/.."
 build=${1:-build}
--- a/tools/measure_control.py
+++ b/tools/measure_control.py
@@ -1,14 +1,15 @@
 #!/usr/bin/python3
-"""What control costs a node, against the number of entry VMs.
+"""Cost of the control plane per entry VM, by the number of entry VMs.
 
     tools/measure_control.py [--build build] [--vms 3,9,18,30]
         [--seconds 10] [--changes 5]
 
-Starts that many entry VMs (three regions, two backend servers each, no
-callers) and prints, a node: processor time and bytes between entry VMs a
-second, resident memory; the store's reads a second of all together; and the
-time from the acknowledgement of a put until the last node has it in force.
-Processor time is the operating system's own accounting.
+Starts the given number of entry VMs (three regions, two backend servers each,
+no callers) and prints one row for each number: CPU time per second and bytes
+sent to peers per second of one entry VM, the largest resident memory, the
+store reads per second of all entry VMs together, and median and maximum of the
+time from the acknowledgement of a put until all entry VMs have it in force.
+CPU time is that of /proc/PID/stat.
 """
 
 import argparse
@@ -43,10 +44,10 @@
     put = deployment.put_sheet(
         names[number % len(names)],
         ["+3600,dossiers,montreal,quebec,%d%%,,," % (number + 1)])
-    begun = time.monotonic()
+    start = time.monotonic()
     version = put.json()["version"]
     deployment.wait_version(version)
-    return time.monotonic() - begun
+    return time.monotonic() - start
 
 
 def measure(deployment, arguments):
--- a/tools/measure_shift.py
+++ b/tools/measure_shift.py
@@ -1,15 +1,16 @@
 #!/usr/bin/python3
-"""A shift onto cold caches: in one step against ramps.
+"""Latency of a shift onto servers with cold caches, by the length of its ramp.
 
     tools/measure_shift.py [--build build] [--ramps 0,10,20] [--load 45]
         [--cold-s 8] [--cold-factor 4] [--seconds 30]
 
 Two regions, three entry VMs and eight backend servers of three slots each;
-callers of both regions ask for --load percent of their region's slots. Three
+callers of both regions load --load percent of their region's slots. Three
 seconds into the run the sheet orders 40% of montreal's callers to quebec,
-whose servers then answer --cold-factor times slower for --cold-s seconds, as
-they would with caches that do not know these callers. One row a ramp: latency
-and refusals of all callers over the whole run, from the planned arrival on.
+whose servers then run --cold-factor times slower for --cold-s seconds, as with
+caches that hold nothing of these callers. A ramp of 0 is one step. Prints for
+each ramp (seconds) the refusals and the latency from the planned arrival, of
+all callers over the whole run.
 """
 
 import argparse
--- a/tools/measure_throughput.py
+++ b/tools/measure_throughput.py
@@ -1,12 +1,12 @@
 #!/usr/bin/python3
-"""Look-ups and forwarded requests of one node, as ratios in one run.
+"""Throughput of lookups and forwarded requests, relative to baselines.
 
     tools/measure_throughput.py [--build build] [--seconds 4] [--runs 3]
         [--connections 32]
 
-Closed loop from one load generator: look-ups against a bare h2o handler, and
-requests through an entry VM against the same requests straight to a backend
-server (which answers at once). Everything shares one machine.
+Closed loop from one load generator: lookups relative to a bare h2o handler,
+and requests through an entry VM relative to the same requests sent directly to
+a backend server that answers at once. All processes share one machine.
 """
 
 import argparse
@@ -69,7 +69,7 @@
     for row in rows:
         print("%10.0f %10.0f %10.0f %10.0f %14.2f %16.2f" % (
             *row, row[1] / row[0], row[3] / row[2]))
-    print("median ratios: look-up/bare %.2f, forwarded/direct %.2f" % (
+    print("median ratios: lookup/bare %.2f, forwarded/direct %.2f" % (
         statistics.median(row[1] / row[0] for row in rows),
         statistics.median(row[3] / row[2] for row in rows)))
 
--- a/tools/run_tests.sh
+++ b/tools/run_tests.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Runs all tests of the build in $1. A test that KNOWN-RED.txt names may fail:
-# it is printed with its line, and everything else must pass.
+# Runs all tests of the build in $1. Exit status 0 if only tests listed in
+# KNOWN-RED.txt failed; these are printed with their entry.
 set -u
 cd "$(dirname "$0")/.."
 build=$1
@@ -22,5 +22,5 @@
         unknown=1
     fi
 done
-# Without a list of failed tests something else went wrong.
+# ctest failed without a list of failed tests: some other error.
 [ -n "$failed" ] && [ "$unknown" -eq 0 ]
--- a/tools/setup.sh
+++ b/tools/setup.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Installs the Debian packages in tools/packages.txt that are missing.
+# Installs the missing Debian packages of tools/packages.txt.
 set -eu
 cd "$(dirname "$0")/.."
 missing=()
