--- a/examples/04-at-most-once.sh
+++ b/examples/04-at-most-once.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# What may not repeat needs an Idempotency-Key and runs at most once: the same
-# request again gets the first answer.
+# Requests that must not run twice need an Idempotency-Key and run at most
+# once: a retry with the same key gets the stored first answer.
 source "$(dirname "$0")/start.sh"
 
 order() {
@@ -14,7 +14,7 @@
 say "with a key it runs"
 order -H "Idempotency-Key: order-7"
 
-say "sent again: the answer that was kept, Sas-Replayed"
+say "a retry: the stored answer, with Sas-Replayed"
 order -H "Idempotency-Key: order-7" | grep -i '^sas-replayed'
 
 say "another request under the same key"
--- a/examples/05-shift.sh
+++ b/examples/05-shift.sh
@@ -21,7 +21,7 @@
 ctl sheet show
 ctl history
 
-say "a sheet with a mistake is refused whole, and the place is named"
+say "a sheet with an error is refused as a whole, with the row and column"
 echo "+2,hello,north,south,120%,,," >>"$WORK/sheet.csv"
 ctl sheet check "$WORK/sheet.csv" && exit 1
 echo "exit status 1"
--- a/examples/06-drain.sh
+++ b/examples/06-drain.sh
@@ -1,8 +1,8 @@
 #!/bin/bash
-# A backend server leaves: nothing new reaches it.
+# Drains a backend server: it gets no new requests.
 source "$(dirname "$0")/start.sh"
 
-who() {
+count_by_server() {
     for _ in $(seq 20); do
         curl -sif "$CALLER/s/hello/x" | tr -d '\r' |
             awk '/^sas-backend/ {print $2}'
@@ -10,13 +10,13 @@
 }
 
 say "before"
-who
+count_by_server
 ctl drain hello-01 --wait 10
-is_quiet() {
-    ! who | grep -q hello-01
+is_drained() {
+    ! count_by_server | grep -q hello-01
 }
-wait_for is_quiet
+wait_for is_drained
 
 say "after"
-who
+count_by_server
 ctl sheet show
--- a/examples/07-graceful-stop.sh
+++ b/examples/07-graceful-stop.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# SIGTERM: the request in progress gets its whole answer, then the process
-# ends with status 0.
+# Graceful shutdown on SIGTERM: the request in progress gets its complete
+# answer, then the process exits with status 0.
 source "$(dirname "$0")/start.sh"
 
 curl -sf "$CALLER/s/hello/photo?ms=2500&bytes=2000000" -o "$WORK/photo" &
@@ -15,5 +15,5 @@
 say "the answer: $(wc -c <"$WORK/photo") bytes"
 [ "$(wc -c <"$WORK/photo")" = 2000000 ]
 wait "$NODE"
-say "the daemon ended with status $?"
+say "the daemon exited with status $?"
 grep node.stop "$WORK/node.log"
--- a/examples/09-check-sheet.c
+++ b/examples/09-check-sheet.c
@@ -1,4 +1,4 @@
-/* Checks a sheet against settings without any process running.
+/* Checks a sheet against a settings file, without a running entry VM.
  *
  *     09-check-sheet examples/hottes.toml examples/hottes-morning.csv
  */
--- a/examples/10-share.c
+++ b/examples/10-share.c
@@ -1,5 +1,5 @@
-/* How the core moves callers: the same addresses always move first, and no
- * caller moves twice while a share rises.
+/* Assigns callers to two targets by weighted rendezvous hashing: the same
+ * callers always move first, and none moves back while a target's share rises.
  *
  *     10-share
  */
--- a/examples/start.sh
+++ b/examples/start.sh
@@ -1,10 +1,11 @@
 # Sourced by the numbered examples: starts one entry VM and two backend
-# servers in each of two regions on loopback, with ports picked by the kernel,
-# and stops them when the example ends. SAS_BUILD names the build folder.
+# servers in each of two regions on loopback, on free ports, and stops them
+# when the example ends. SAS_BUILD names the build folder (../build).
 #
-# Sets CALLER and ADMIN (http://ip:port), STANDIN (control of the backend
-# servers), WORK (a folder of its own), NODE (the daemon's process), and the
-# function ctl.
+# Sets CALLER and ADMIN (http://ip:port of the entry VM), STANDIN (the same for
+# the control port of the backend servers), WORK (a temporary folder), NODE
+# (the daemon's process id) and the function ctl (sassafrassillctl for this
+# entry VM).
 set -eu
 HERE=$(cd "$(dirname "${BASH_SOURCE[0]}")" && pwd)
 BUILD=${SAS_BUILD:-$HERE/../build}
@@ -22,7 +23,7 @@
     printf '\n# %s\n' "$*"
 }
 
-# Waits until a command succeeds, for 20 seconds at most.
+# Runs a command until it succeeds; fails after 20 s.
 wait_for() {
     for _ in $(seq 200); do
         if "$@" >/dev/null 2>&1; then
@@ -30,7 +31,7 @@
         fi
         sleep 0.1
     done
-    echo "never came: $*" >&2
+    echo "timeout after 20 s: $*" >&2
     return 1
 }
 
--- a/tools/lint.sh
+++ b/tools/lint.sh
@@ -1,5 +1,5 @@
 #!/bin/bash
-# Runs clang-tidy and cppcheck on the C sources; $1 is the build folder (build).
+# Runs clang-tidy and cppcheck on the C sources; $1: build folder (build).
 set -eu
 cd "$(dirname "$0")/.."
 build=${1:-build}
--- a/tools/run_tests.sh
+++ b/tools/run_tests.sh
@@ -1,6 +1,6 @@
 #!/bin/bash
-# Runs all tests of the build in $1. Exit status 0 if only tests listed in
-# KNOWN-RED.txt failed; these are printed with their entry.
+# Runs all tests of the build in $1. Tests listed in KNOWN-RED.txt may fail:
+# their entry is printed. Exit status 0 if all others pass.
 set -u
 cd "$(dirname "$0")/.."
 build=$1
