--- a/tools/emulate.c
+++ b/tools/emulate.c
@@ -78,7 +78,7 @@
     int server;
     double sent_at;
     double load_when_sent;
-    bool cached;  /* expected by the entry VM */
+    bool cached;  /* as the entry VM expected it */
     bool is_done; /* answered, refused or timed out */
 };
 
@@ -127,8 +127,7 @@
 static struct sas_pace service_times[VMS]; /* of the only route */
 static struct window windows[MAX_WINDOWS];
 
-/* Groupe Hottes: two zones per region, too few servers in the middle region.
- */
+/* Groupe Hottes: two zones per region, few servers in the middle region. */
 static const int servers_per_zone[ZONES] = {6, 6, 1, 1, 5, 5};
 
 static int
--- a/tools/load/load.c
+++ b/tools/load/load.c
@@ -31,7 +31,7 @@
 
 #define CALLERS 200 /* source addresses of a target with a source */
 #define READ_SIZE 65536
-#define BODY_PREFIX_SIZE 1024
+#define BODY_PREFIX_SIZE 1024 /* bytes of an answer that --check searches */
 #define NAME_SIZE 64
 #define SWEEP_MS 50
 
