--- a/tests/e2e/history.py
+++ b/tests/e2e/history.py
@@ -2,8 +2,8 @@
 
 Every check takes records and returns a list of violations, as text; an empty
 list means that the history is consistent. The checks assume nothing about
-the order of events but the times that were recorded around each call, so
-their verdict does not depend on how fast the machine is.
+the order of events beyond the times recorded around each call, so their
+results do not depend on how fast the machine is.
 """
 
 import ctypes
@@ -21,10 +21,11 @@
 
 
 @dataclass
-class Sending:
-    """One sending of a request; status is None when no whole answer came.
+class Attempt:
+    """One attempt of a request; status is None without a complete answer.
 
-    target is what the backend server sees; home is the caller's region.
+    target is the path as the backend server sees it; home is the caller's
+    region; sent and done are times.
     """
 
     key: str
@@ -43,16 +44,16 @@
     replayed: bool = False
     answer: bytes = b""
 
-    def is_passed_on(self):
-        """True when the answer is a backend server's own."""
+    def is_from_backend(self):
+        """True when a backend server gave the answer, not the system."""
         return self.status is not None and self.outcome is None and (
             self.region is not None or self.replayed)
 
 
 @dataclass
-class Put:
-    """One operation on the sheet with all answers to its sendings: pairs of
-    a status (None when lost) and the version or the reason told."""
+class SheetPut:
+    """One operation that puts a sheet. answers: for each attempt its status
+    (None when lost) and the version or the reason in the answer."""
 
     operation: str
     sheet: str
@@ -62,17 +63,19 @@
     answers: list = field(default_factory=list)
 
     def get_version(self):
-        told = [told for status, told in self.answers if status == 200]
-        return told[0] if told else None
+        versions = [version for status, version in self.answers
+                    if status == 200]
+        return versions[0] if versions else None
 
     def may_be_accepted(self):
-        return any(status in (200, None) or told == "unknown"
-                   for status, told in self.answers)
+        return any(status in (200, None) or reason == "unknown"
+                   for status, reason in self.answers)
 
 
 @dataclass
-class Sight:
-    """What one process of an entry VM said at one time."""
+class Sample:
+    """The version and sheet that an entry VM reported. Each process of an
+    entry VM has its own incarnation."""
 
     vm: str
     incarnation: int
@@ -82,35 +85,35 @@
     sheet: str = None
 
 
-def describe(sending):
+def describe(attempt):
     return "%s %s by %s: status %s, outcome %s, reason %s" % (
-        sending.key, sending.target, sending.vm, sending.status,
-        sending.outcome, sending.reason)
+        attempt.key, attempt.target, attempt.vm, attempt.status,
+        attempt.outcome, attempt.reason)
 
 
-def group_by_key(sendings):
+def group_by_key(attempts):
     groups = {}
-    for sending in sendings:
-        groups.setdefault(sending.key, []).append(sending)
+    for attempt in attempts:
+        groups.setdefault(attempt.key, []).append(attempt)
     return groups
 
 
 # Answers.
 
-def is_own_answer(sending):
-    size = get_parameter(sending.target, "bytes")
+def is_own_answer(attempt):
+    size = get_parameter(attempt.target, "bytes")
     if size is not None:
         length = int(size)
-        copies = length // len(sending.target) + 1
-        return sending.answer == (sending.target * copies)[:length].encode()
+        copies = length // len(attempt.target) + 1
+        return attempt.answer == (attempt.target * copies)[:length].encode()
     try:
-        echo = json.loads(sending.answer)
+        echo = json.loads(attempt.answer)
     except ValueError:
         return False
-    digest = xxhash.XXH64(sending.body, len(sending.body), 0)
-    return (echo.get("target") == sending.target and
-            echo.get("method") == sending.method and
-            echo.get("body_bytes") == len(sending.body) and
+    digest = xxhash.XXH64(attempt.body, len(attempt.body), 0)
+    return (echo.get("target") == attempt.target and
+            echo.get("method") == attempt.method and
+            echo.get("body_bytes") == len(attempt.body) and
             echo.get("body_hash") == "%016x" % digest)
 
 
@@ -122,47 +125,49 @@
     return None
 
 
-def check_answers(sendings):
-    """Every 200 is whole and answers the request that its caller sent."""
-    return ["not its own answer: %s %r" % (describe(one), one.answer[:200])
-            for one in sendings
+def check_answers(attempts):
+    """Every 200 is complete and answers the request of its caller."""
+    return ["not the answer to its request: %s %r" % (describe(one),
+                                                      one.answer[:200])
+            for one in attempts
             if one.status == 200 and not is_own_answer(one)]
 
 
-def check_agreement(sendings):
+def check_agreement(attempts):
     """All answers to one idempotency key are the same."""
     wrong = []
-    for key, group in group_by_key(sendings).items():
+    for key, group in group_by_key(attempts).items():
         answers = {(one.status, one.answer) for one in group
-                   if one.once and one.is_passed_on()}
+                   if one.once and one.is_from_backend()}
         if len(answers) > 1:
             wrong.append("answers of %s differ: %s" % (key, answers))
     return wrong
 
 
-# Runs; journal: key -> how often it was started.
+# Runs. journal: key -> how often backend servers started it.
 
-def check_once(sendings, journal):
-    keys = {one.key for one in sendings if one.once}
+def check_single_runs(attempts, journal):
+    """A request of a "once" route is started at most once."""
+    keys = {one.key for one in attempts if one.once}
     return ["%s was started %d times" % (key, journal[key])
             for key in sorted(keys) if journal.get(key, 0) > 1]
 
 
-def check_not_run(sendings, journal):
-    """A sending that was told "not run" started nothing.
+def check_not_run(attempts, journal):
+    """An attempt that was answered "not-run" started nothing.
 
-    The journal counts by key, so a key that was sent several times is judged
-    as a whole: when all of its sendings were told "not run", nothing was
-    started; otherwise, for methods that the system may not repeat, no more
-    was started than there are sendings that were told something else.
+    The journal counts by key, so all attempts of a key are checked together:
+    when all were answered "not-run", nothing was started; otherwise, for
+    requests that the system may not retry, the number of starts is at most
+    the number of attempts with another outcome.
     """
     wrong = []
-    for key, group in group_by_key(sendings).items():
+    for key, group in group_by_key(attempts).items():
         others = [one for one in group if one.outcome != NOT_RUN]
         started = journal.get(key, 0)
-        may_repeat = (group[0].method in IDEMPOTENT_METHODS and
-                      not group[0].once)
-        allowed = None if others and may_repeat else len(others)
+        may_retry = (group[0].method in IDEMPOTENT_METHODS and
+                     not group[0].once)
+        allowed = None if others and may_retry else len(others)
         if allowed is not None and started > allowed:
             wrong.append("%s was started %d times, at most %d expected: %s" % (
                 key, started, allowed,
@@ -172,12 +177,12 @@
 
 # Limits.
 
-def find_caps(puts, sights, vms):
+def find_caps(puts, samples, vms):
     """When each accepted version may have been in force: (from, until, cap).
 
-    A version begins when its put was sent. It is in force until every entry
-    VM was seen with a later one: a process that was frozen goes on with the
-    old one until it has heard of the new one.
+    A version begins when its put was sent and ends when every entry VM has
+    reported a later one: a process that was frozen continues with the old
+    version until it learns of the new one.
     """
     spans = []
     for put in puts:
@@ -186,27 +191,28 @@
             if put.may_be_accepted():
                 spans.append((put.sent, float("inf"), put.cap))
             continue
-        ends = [min((one.done for one in sights
+        ends = [min((one.done for one in samples
                      if one.vm == vm and one.version > version),
                     default=float("inf")) for vm in vms]
-        # A process that starts later may read an old one; 0 is none at all.
-        later = [one.done for one in sights if 0 < one.version <= version]
+        # A restarted process may still report an old version; 0 is none.
+        later = [one.done for one in samples if 0 < one.version <= version]
         spans.append((put.sent, max(ends + later), put.cap))
     return spans
 
 
-def check_cap(sendings, puts, sights, vms, home, target, burst_s=0.1):
-    """Requests of callers at home that ran in target stay under the cap.
+def check_cap(attempts, puts, samples, vms, home, target, burst_s=0.1):
+    """Requests of callers in home that ran in target stay under the cap.
 
-    The cap is kept as requests leave, at some time between a request's
-    sending and its answer. So those that were both sent and answered within
-    a window all left in it, and are at most cap * length + bursts: an entry
-    VM's bucket holds burst_s of its share, or one request if that is more.
+    An entry VM applies the cap when it forwards a request, between the times
+    sent and done. So requests that were both sent and answered within a
+    window were forwarded in it, and number at most cap * length + bursts: the
+    token bucket of an entry VM holds burst_s of its share, or one request if
+    that is more.
     """
-    shifted = [one for one in sendings if one.home == home and
-               one.region == target and one.is_passed_on() and
+    shifted = [one for one in attempts if one.home == home and
+               one.region == target and one.is_from_backend() and
                not one.replayed]
-    spans = find_caps(puts, sights, vms)
+    spans = find_caps(puts, samples, vms)
     by_end = sorted(shifted, key=lambda one: one.done)
     wrong = []
     for start in sorted({one.sent for one in shifted}):
@@ -228,21 +234,21 @@
     return wrong
 
 
-def check_peak(region, peak, places, silenced, slots, orphan_s):
-    """No region had more requests running and waiting than its places.
+def check_concurrency(region, peak, capacity, stalls, slots, orphan_s):
+    """No region had more requests running and queued than its capacity.
 
-    A request on a connection that went silent is the one that may overlap:
-    the entry VM gives up at its deadline or tries elsewhere, while the
-    backend server, which never hears of that, runs it on. An entry VM that
-    dies closes its connections and one that is frozen keeps its places, so
-    neither adds anything. silenced: times at which one server's open
-    connections went silent; each leaves at most the server's slots behind,
-    for no longer than the longest run, orphan_s.
+    Only requests on stalled connections may exceed it: the entry VM fails
+    such a request at its deadline or retries it elsewhere, while the backend
+    server, which is not notified, continues the run. An entry VM that dies
+    closes its connections and a frozen one keeps its slots, so neither adds
+    requests. stalls: times at which one server's open connections stalled;
+    each adds at most the server's slots, for no longer than the longest run,
+    orphan_s seconds.
     """
-    overlaps = max((sum(1 for other in silenced
+    overlaps = max((sum(1 for other in stalls
                         if 0 <= at - other <= orphan_s)
-                    for at in silenced), default=0)
-    allowed = places + slots * overlaps
+                    for at in stalls), default=0)
+    allowed = capacity + slots * overlaps
     if peak <= allowed:
         return []
     return ["%d requests at a time in %s; allowed %d" % (peak, region,
@@ -251,23 +257,24 @@
 
 # Configuration.
 
-def check_versions_rise(sights):
-    """No process goes back to an older version. Two calls that overlap may
-    be answered in either order."""
+def check_versions_rise(samples):
+    """No process reverts to an older version. Samples whose calls overlap
+    are not compared, as they may be answered in either order."""
     wrong = []
     seen = {}
-    for sight in sorted(sights, key=lambda one: one.done):
-        earlier = seen.setdefault((sight.vm, sight.incarnation), [])
+    for sample in sorted(samples, key=lambda one: one.done):
+        earlier = seen.setdefault((sample.vm, sample.incarnation), [])
         for other in earlier:
-            if other.done <= sight.sent and other.version > sight.version:
-                wrong.append("%s went from version %d back to %d" % (
-                    sight.vm, other.version, sight.version))
-        earlier.append(sight)
+            if other.done <= sample.sent and other.version > sample.version:
+                wrong.append("%s reverted from version %d to %d" % (
+                    sample.vm, other.version, sample.version))
+        earlier.append(sample)
     return wrong
 
 
 def check_versions(puts, versions):
-    """versions: pairs of a version and its operation, as accepted."""
+    """The accepted versions are 1 to N, each of one known operation, and
+    agree with the answers. versions: pairs of version and operation."""
     wrong = []
     numbers = [number for number, _ in versions]
     if sorted(numbers) != list(range(1, len(numbers) + 1)):
@@ -275,15 +282,16 @@
     for put in puts:
         accepted = [number for number, operation in versions
                     if operation == put.operation]
-        told = {told for status, told in put.answers if status == 200}
+        reported = {version for status, version in put.answers
+                    if status == 200}
         if len(accepted) > 1:
-            wrong.append("%s is accepted twice: %s" % (put.operation,
-                                                       accepted))
-        if told and told != set(accepted):
-            wrong.append("%s was told version %s, the history says %s" % (
-                put.operation, told, accepted))
+            wrong.append("%s was accepted twice: %s" % (put.operation,
+                                                        accepted))
+        if reported and reported != set(accepted):
+            wrong.append("%s was answered version %s, the history has %s" % (
+                put.operation, reported, accepted))
         if accepted and not put.may_be_accepted():
-            wrong.append("%s is in force; its operator was told %s" % (
+            wrong.append("%s is in force; its operator got %s" % (
                 put.operation, put.answers))
     known = {put.operation for put in puts}
     wrong += ["version %d has an unknown operation %s" % row
@@ -291,19 +299,20 @@
     return wrong
 
 
-def check_sheets(puts, versions, sights):
-    """A sheet seen in force is the one that was accepted by that number."""
+def check_sheets(puts, versions, samples):
+    """Each reported sheet is the one accepted under its version."""
     sheets = {put.operation: put.sheet for put in puts}
     accepted = {number: sheets.get(operation)
                 for number, operation in versions}
-    return ["%s had another sheet as version %d: %r" % (
-        one.vm, one.version, one.sheet) for one in sights
-        if one.sheet is not None and
-        one.sheet != accepted.get(one.version)]
+    return ["%s reported a wrong sheet as version %d: %r" % (
+        one.vm, one.version, one.sheet) for one in samples
+            if one.sheet is not None and
+            one.sheet != accepted.get(one.version)]
 
 
-def check_healed(version, at_end):
-    """at_end: entry VM -> its version and the status of a request."""
+def check_converged(version, at_end):
+    """At the end every entry VM has the version in force and serves.
+    at_end: entry VM -> its version and the status of a request."""
     return ["%s has version %s and answers %s; version %d is in force" % (
         vm, own, status, version)
         for vm, (own, status) in at_end.items()
--- a/tests/e2e/test_together.py
+++ b/tests/e2e/test_together.py
@@ -1,12 +1,12 @@
-"""Many failures at once, over the real processes.
+"""Many failures at once, against the real processes.
 
     test_together.py [--seed N] [--seconds N]
 
-Entry VMs, backend servers and the store fail in an order that the seed
-decides, also together and twice, while callers send requests and two
-operators put sheets. Everybody records what was answered; history.py then
-checks the records. Neither the timing nor the interleaving repeats, but a
-violation is one whatever the timing. Without arguments the fixed seeds run.
+Entry VMs, backend servers and the store fail in an order given by the seed,
+also at the same time and repeatedly, while callers send requests and two
+operators put sheets. All of them record the answers; history.py then checks
+the records. Timing and interleaving differ between runs of a seed, but the
+checks do not depend on them. Without arguments the fixed seeds run.
 """
 
 import argparse
@@ -21,7 +21,7 @@
 
 import history
 from harness import Deployment, exchange, wait_until
-from history import Put, Sending, Sight
+from history import Attempt, Sample, SheetPut
 
 SEEDS = (1, 2, 33)
 SECONDS = 8
@@ -34,12 +34,12 @@
                          "mean_ms": 20, "once": ["/certificates"],
                          "deadline_ms": DEADLINE_MS}}
 CALLERS = 64
-BLOCKS = 8  # of callers, a region; a share moves whole blocks
-MAX_SENDINGS = 25
+BLOCKS = 8  # of callers, per region; a share moves whole blocks
+MAX_ATTEMPTS = 25
 CALL_TIMEOUT_S = 8  # longer than any deadline and any freeze
 CAPS = (5, 10, 20)
 PUT_EVERY_S = 1.5
-# Faults that a single request brings with it.
+# Faults of a single request, named in its query.
 REQUEST_FAULTS = ("cut-chunked", "short", "close-framed", "late",
                   "reset-mid", "silent", "hang", "crash")
 HEALTHY_STORE = {"down": False, "freeze": False, "delay_ms": 0,
@@ -47,17 +47,17 @@
 HEALTHY_SERVER = {"slots": SLOTS, "queue": 50, "slow": 1, "delay_ms": 0,
                   "probe_ms": 0, "report": "honest", "report_late_ms": 0,
                   "leaving": False, "refuse": False}
-LOST = (OSError, http.client.HTTPException)
+CALL_ERRORS = (OSError, http.client.HTTPException)
 
 
 class Callers:
-    """Callers of both regions; each keeps old look-ups, and resends what may
-    not repeat until it knows or gives up."""
+    """Callers of both regions. Each keeps old lookups, and retries requests
+    with an idempotency key until it knows the outcome or stops retrying."""
 
     def __init__(self, d, seed):
         self.d = d
-        self.sendings = []
-        self.over = False
+        self.attempts = []
+        self.stopped = False
         self.threads = [threading.Thread(
             target=self.run, args=(number, random.Random("%d/%d" % (
                 seed, number)))) for number in range(CALLERS)]
@@ -65,7 +65,7 @@
             thread.start()
 
     def stop(self):
-        self.over = True
+        self.stopped = True
         for thread in self.threads:
             thread.join()
 
@@ -75,61 +75,61 @@
         source = self.d.caller_ip(home, block * 256 + number + 1)
         count = 0
         vms = sorted(self.d.vms)
-        while not self.over:
+        while not self.stopped:
             if rng.random() < 0.1:
                 vms = self.look_up(rng, source) or vms
             count += 1
             template = make_request(rng, "c%d-%d" % (number, count), home)
-            self.send_until_known(rng, template, vms, source)
+            self.retry_until_known(rng, template, vms, source)
 
     def look_up(self, rng, source):
         try:
             answer = self.d.lookup(rng.choice(sorted(self.d.vms)), "dossiers",
                                    source)
             return [row["name"] for row in answer.json()["vms"]]
-        except (*LOST, ValueError, KeyError):
+        except (*CALL_ERRORS, ValueError, KeyError):
             return None
 
-    def send_until_known(self, rng, template, vms, source):
-        gives_up = rng.random() < 0.3  # when it is told that it did not run
-        for _ in range(MAX_SENDINGS):
+    def retry_until_known(self, rng, template, vms, source):
+        stops_retrying = rng.random() < 0.3  # after "not-run"
+        for _ in range(MAX_ATTEMPTS):
             vm = rng.choice(vms)
-            sending = self.send(rng, template, vm, source)
-            known = sending.is_passed_on() or sending.outcome == "ran"
-            if not sending.once or known or self.over or (
-                    gives_up and sending.outcome == history.NOT_RUN):
+            attempt = self.send(rng, template, vm, source)
+            known = attempt.is_from_backend() or attempt.outcome == "ran"
+            if not attempt.once or known or self.stopped or (
+                    stops_retrying and attempt.outcome == history.NOT_RUN):
                 return
-            vms = sorted(self.d.vms)  # a resend goes through any entry VM
+            vms = sorted(self.d.vms)  # a retry may use any entry VM
             time.sleep(rng.uniform(0.05, 0.3))
 
     def send(self, rng, template, vm, source):
-        sending = Sending(**{**template, "vm": vm})
-        # Some go away in mid-request.
+        attempt = Attempt(**{**template, "vm": vm})
+        # Some callers disconnect during the request.
         timeout = 0.05 if rng.random() < 0.04 else CALL_TIMEOUT_S
-        sending.sent = time.monotonic()
+        attempt.sent = time.monotonic()
         try:
             answer = self.d.request(
-                vm, "/s/dossiers" + sending.target, sending.method,
-                sending.body or None, source, timeout,
-                Idempotency_Key=sending.key, Sas_Caller="caller")
+                vm, "/s/dossiers" + attempt.target, attempt.method,
+                attempt.body or None, source, timeout,
+                Idempotency_Key=attempt.key, Sas_Caller="caller")
         except ConnectionRefusedError:
-            sending.outcome = history.NOT_RUN  # nothing was sent
-        except LOST:
+            attempt.outcome = history.NOT_RUN  # nothing was sent
+        except CALL_ERRORS:
             pass
         else:
-            sending.status = answer.status
-            sending.outcome = answer.outcome
-            sending.reason = answer.reason
-            sending.region = answer.region
-            sending.replayed = answer.replayed == "1"
-            sending.answer = answer.body
-        sending.done = time.monotonic()
-        self.sendings.append(sending)
-        return sending
+            attempt.status = answer.status
+            attempt.outcome = answer.outcome
+            attempt.reason = answer.reason
+            attempt.region = answer.region
+            attempt.replayed = answer.replayed == "1"
+            attempt.answer = answer.body
+        attempt.done = time.monotonic()
+        self.attempts.append(attempt)
+        return attempt
 
 
 def make_request(rng, key, home):
-    """Each request has a target and a key of its own."""
+    """Each request has a unique target and idempotency key."""
     kind = rng.choices(("get", "post", "once"), (50, 10, 40))[0]
     path = "/certificates/" if kind == "once" else "/records/"
     parameters = ["ms=%d" % (rng.randint(100, 800) if rng.random() < 0.1
@@ -149,12 +149,12 @@
 
 class Operators:
     """Two operators that put sheets at the same time, through different
-    entry VMs, and put the same operation again until they know."""
+    entry VMs, and retry each operation until they know its outcome."""
 
     def __init__(self, d, seed):
         self.d = d
         self.puts = []
-        self.over = False
+        self.stopped = False
         self.put(random.Random(seed), "first", 99, CAPS[-1])
         d.wait_version(1)
         self.threads = [threading.Thread(
@@ -164,21 +164,21 @@
             thread.start()
 
     def stop(self):
-        self.over = True
+        self.stopped = True
         for thread in self.threads:
             thread.join()
 
     def run(self, name, rng):
         count = 0
         cap = CAPS[-1]
-        while not self.over:
-            # Both put at nearly the same moment. A cap that changes all the
-            # time would never be used to the full, so most sheets keep it.
+        while not self.stopped:
+            # Both put within 20 ms. Most sheets keep the cap, since one that
+            # changes all the time would never be used in full.
             time.sleep(PUT_EVERY_S - time.monotonic() % PUT_EVERY_S +
                        rng.uniform(0, 0.02))
             count += 1
             cap = rng.choice(CAPS) if rng.random() < 0.2 else cap
-            # The number makes each sheet another one.
+            # The count makes each sheet unique.
             share = rng.choice((50, 99)) + count * 0.0001
             self.put(rng, "%s-%d" % (name, count), share, cap)
 
@@ -190,7 +190,7 @@
             rows.reverse()
         sheet = "time,service,from,to,share,cap,drain,limits\n" + "".join(
             row + "\n" for row in rows)
-        put = Put(operation, sheet, cap)
+        put = SheetPut(operation, sheet, cap)
         base = self.read_version(rng.choice(sorted(self.d.vms)))
         put.sent = time.monotonic()
         self.puts.append(put)
@@ -199,15 +199,15 @@
                                          base))
             put.done = time.monotonic()
             status, _ = put.answers[-1]
-            if status in (200, 409, 422) or self.over:
+            if status in (200, 409, 422) or self.stopped:
                 return
             time.sleep(rng.uniform(0.05, 0.3))
 
     def read_version(self, vm):
-        """The version that the operator takes for the one in force."""
+        """If-Match with the version that the operator believes in force."""
         try:
             return {"If_Match": '"%d"' % self.d.status(vm)["version"]}
-        except LOST:
+        except CALL_ERRORS:
             return {}
 
     def send(self, vm, put, base):
@@ -217,36 +217,36 @@
                                   Sas_Operator="operator", **base)
         except ConnectionRefusedError:
             return 503, "refused"  # nothing was sent
-        except LOST:
+        except CALL_ERRORS:
             return None, None
-        told = answer.json()
-        return answer.status, (told["version"] if answer.status == 200
-                               else told["reason"])
+        answer_json = answer.json()
+        return answer.status, (answer_json["version"] if answer.status == 200
+                               else answer_json["reason"])
 
 
 class Monitor:
-    """Reads the sheet in force from all entry VMs over and over."""
+    """Polls the sheet in force of all entry VMs."""
 
     def __init__(self, d):
         self.d = d
         self.incarnations = {vm: 1 for vm in d.vms}
-        self.sights = []
-        self.over = False
+        self.samples = []
+        self.stopped = False
         self.threads = [threading.Thread(target=self.run, args=(vm,))
                         for vm in d.vms]
         for thread in self.threads:
             thread.start()
 
     def stop(self):
-        self.over = True
+        self.stopped = True
         for thread in self.threads:
             thread.join()
 
     def run(self, vm):
-        while not self.over:
+        while not self.stopped:
             try:
-                self.look(vm)
-            except LOST:
+                self.sample(vm)
+            except CALL_ERRORS:
                 pass
             time.sleep(0.1)
 
@@ -255,20 +255,20 @@
         sent = time.monotonic()
         answer = self.d.admin(vm, "GET", "/v1/sheet")
         done = time.monotonic()
-        # An answer while the process is being replaced is of either one.
+        # During a replacement either process may have answered.
         if answer.status == 200 and incarnation == self.incarnations[vm]:
-            self.sights.append(Sight(
+            self.samples.append(Sample(
                 vm, incarnation, sent, done,
                 int(answer.headers["ETag"].strip('"')),
                 answer.body.decode()))
 
 
 class Failures:
-    """Makes failures come and go. A failure is a pair of methods of the same
-    arguments, do_NAME and undo_NAME."""
+    """Starts and ends failures. do_NAME starts one and undo_NAME ends it, both
+    with the argument of pick_NAME, or of pick_server without that."""
 
     KINDS = {"kill": 3, "freeze": 4, "stop": 2, "server_crash": 3,
-             "silence": 2, "shed": 2, "slow": 2, "late": 2, "misreport": 2,
+             "stall": 2, "shed": 2, "slow": 2, "late": 2, "misreport": 2,
              "leave": 2, "region": 1, "store": 6, "list": 3}
 
     def __init__(self, d, monitor, seed):
@@ -276,11 +276,11 @@
         self.monitor = monitor
         self.rng = random.Random(seed)
         self.down = set()  # entry VMs that were killed or told to stop
-        self.silenced = {region: [] for region in REGIONS}
+        self.stalls = {region: [] for region in REGIONS}
         self.pending = []  # heap of (time, number, name, argument)
         self.number = 0
         self.log = []
-        self.ends = []  # of entry VMs that ended as they should not
+        self.bad_exits = []  # unexpected exits of entry VMs
 
     def run(self, seconds):
         end = time.monotonic() + seconds
@@ -289,41 +289,41 @@
                                         list(self.KINDS.values()))[0])
             pause = time.monotonic() + self.rng.uniform(0.05, 0.5)
             while time.monotonic() < pause:
-                self.undo_until(time.monotonic())
-                self.look_for_ends()
+                self.undo_expired(time.monotonic())
+                self.find_bad_exits()
                 time.sleep(0.02)
 
     def begin(self, name):
         argument = getattr(self, "pick_" + name, self.pick_server)()
-        lasts_s = self.rng.choice((0.3, 1.0, 4.5))
+        duration_s = self.rng.choice((0.3, 1.0, 4.5))
         if argument is None:
             return
         self.log.append("%.2f %s %s for %.1f s" % (
-            time.monotonic(), name, argument, lasts_s))
+            time.monotonic(), name, argument, duration_s))
         getattr(self, "do_" + name)(argument)
         self.number += 1
-        heapq.heappush(self.pending, (time.monotonic() + lasts_s, self.number,
-                                      name, argument))
+        heapq.heappush(self.pending, (time.monotonic() + duration_s,
+                                      self.number, name, argument))
 
-    def undo_until(self, now):
+    def undo_expired(self, now):
         while self.pending and self.pending[0][0] <= now:
             _, _, name, argument = heapq.heappop(self.pending)
             self.log.append("%.2f end of %s %s" % (time.monotonic(), name,
                                                    argument))
             getattr(self, "undo_" + name)(argument)
 
-    def look_for_ends(self):
-        """Nothing that fails around it may end an entry VM."""
+    def find_bad_exits(self):
+        """No failure of another process may end an entry VM."""
         for vm in sorted(set(self.d.vms) - self.down):
             status = self.d.nodes[vm].process.poll()
             if status is not None:
-                self.ends.append("%s ended by itself, status %d" % (vm,
-                                                                    status))
+                self.bad_exits.append("%s ended by itself, status %d" % (
+                    vm, status))
                 self.down.add(vm)
 
-    def heal(self):
-        self.look_for_ends()
-        self.undo_until(float("inf"))
+    def repair_all(self):
+        self.find_bad_exits()
+        self.undo_expired(float("inf"))
         self.d.control_platform(**HEALTHY_STORE)
         self.d.control_backends("*", **HEALTHY_SERVER)
         self.undo_list(None)
@@ -331,7 +331,7 @@
     # Entry VMs.
 
     def pick_vm(self):
-        """One that runs, be it frozen already."""
+        """One that runs; it may be frozen already."""
         up = sorted(set(self.d.vms) - self.down)
         return self.rng.choice(up) if up else None
 
@@ -357,12 +357,12 @@
         self.down.add(vm)
         self.d.kill(vm, signal.SIGTERM)
 
-    # One that has not stopped by then is replaced all the same. A process
-    # that had only just been started may not have known the signal yet.
+    # An entry VM that has not stopped by then is replaced anyway. Status
+    # -SIGTERM is valid: the process may not have installed its handler yet.
     def undo_stop(self, vm):
         status = self.d.nodes[vm].process.poll()
         if status not in (None, 0, -signal.SIGTERM):
-            self.ends.append("%s stopped with status %d" % (vm, status))
+            self.bad_exits.append("%s stopped with status %d" % (vm, status))
         self.undo_kill(vm)
 
     # Backend servers.
@@ -374,8 +374,8 @@
     def do_server_crash(self, server):
         self.d.control_backends(server, crash=self.rng.choice((50, 800)))
 
-    def do_silence(self, server):
-        self.silenced[server.split("-")[1]].append(time.monotonic())
+    def do_stall(self, server):
+        self.stalls[server.split("-")[1]].append(time.monotonic())
         self.d.control_backends(server, silent=True)
 
     def do_shed(self, server):
@@ -407,7 +407,7 @@
     def do_leave(self, server):
         self.d.control_backends(server, leaving=True)
 
-    # It is replaced by a process of the same name.
+    # A new process of the same name replaces it.
     def undo_leave(self, server):
         self.d.control_backends(server, leaving=False, crash=100)
 
@@ -420,7 +420,7 @@
     def do_nothing(self, argument):
         pass
 
-    undo_server_crash = undo_silence = undo_region = do_nothing
+    undo_server_crash = undo_stall = undo_region = do_nothing
 
     # The platform.
 
@@ -436,7 +436,7 @@
         self.d.control_platform(**{fault[0]: HEALTHY_STORE[fault[0]]})
 
     def pick_list(self):
-        """Some entry VMs absent or leaving, some servers leaving."""
+        """The platform's list, with some entries missing or leaving."""
         names = sorted(self.d.vms) + sorted(self.d.backends)
         return [{"name": name, "state": "leaving" if self.rng.random() < 0.2
                  else "live"} for name in names if self.rng.random() < 0.8]
@@ -444,7 +444,8 @@
     def do_list(self, rows):
         self.d.set_vms(rows)
 
-    # Servers that the list said leave are replaced, or they would stay out.
+    # Servers listed as leaving are restarted; otherwise they would get no
+    # requests for good.
     def undo_list(self, rows):
         names = sorted(self.d.vms) + sorted(self.d.backends)
         self.d.set_vms([{"name": name, "state": "live"} for name in names])
@@ -454,7 +455,7 @@
 
 
 def read_head(d):
-    """The version in force, as the store has it."""
+    """The configuration head of the store, with the version in force."""
     return exchange(("127.0.0.1", d.store_port), "GET",
                     "/table/config/head").json()
 
@@ -473,27 +474,28 @@
 
 
 def read_state(d, vm):
-    """The version in force there, and the status of a request."""
+    """The version that an entry VM has, and the status of a request."""
     try:
         return (d.status(vm)["version"],
                 d.request(vm, "/s/dossiers/healed").status)
-    except LOST:
+    except CALL_ERRORS:
         return None, None
 
 
-def wait_healed(d):
+def wait_converged(d):
     """Waits until each entry VM is ready, has the version in force and
-    serves; the check afterwards names those that never did."""
+    serves. Does not raise at the time limit: the check on what it returns
+    names the entry VMs that did not."""
     version = read_head(d)["version"]
     at_end = {}
 
     def look():
         at_end.update({vm: read_state(d, vm) for vm in d.vms})
-        return (not history.check_healed(version, at_end) and
+        return (not history.check_converged(version, at_end) and
                 all(d.health(vm) == 200 for vm in d.vms))
 
     try:
-        wait_until(look, "all have healed")
+        wait_until(look, "all entry VMs converge")
     except AssertionError:
         at_end.update({vm: (at_end[vm][0], "not ready") for vm in d.vms
                        if d.health(vm) != 200})
@@ -502,10 +504,10 @@
 
 class TogetherTest(unittest.TestCase):
 
-    # Crews, inspectors and clerks go on working while everything fails, in
-    # any order and together. They would see wrong or mixed answers, filings
-    # that ran twice, "not run" that was not true, a region over its limits,
-    # or a sheet that is not the accepted one.
+    # Guards against failures that overlap in any order and lead to wrong or
+    # mixed-up answers, non-idempotent requests that run twice, a false
+    # "not-run", a region over its limits, or a sheet in force that is not the
+    # accepted one.
     def run_seed(self, seed, seconds):
         with Deployment(REGIONS, vms=2, services=SERVICES, blocks=BLOCKS,
                         limits={"drain_notice_ms": 300}) as d:
@@ -518,55 +520,55 @@
             try:
                 failures.run(seconds)
             finally:
-                failures.heal()
+                failures.repair_all()
                 operators.stop()
-                # Callers go on for a while, so that they come to know.
+                # Lets callers learn pending outcomes by retries.
                 time.sleep(1.5)
                 callers.stop()
                 monitor.stop()
-            version, at_end = wait_healed(d)
-            failures.look_for_ends()
-            sendings = callers.sendings
-            wrong = self.check(d, sendings, operators.puts, monitor.sights,
+            version, at_end = wait_converged(d)
+            failures.find_bad_exits()
+            attempts = callers.attempts
+            wrong = self.check(d, attempts, operators.puts, monitor.samples,
                                failures) + \
-                history.check_healed(version, at_end) + failures.ends
-            self.report(d, seed, seconds, sendings, operators.puts, version,
+                history.check_converged(version, at_end) + failures.bad_exits
+            self.report(d, seed, seconds, attempts, operators.puts, version,
                         failures)
             if wrong:
                 print("\n".join(failures.log))
             self.assertEqual(wrong, [], "seed %d" % seed)
 
-    def check(self, d, sendings, puts, sights, failures):
+    def check(self, d, attempts, puts, samples, failures):
         journal = read_journal(d)
         versions = read_versions(d)
-        wrong = history.check_answers(sendings)
-        wrong += history.check_agreement(sendings)
-        wrong += history.check_once(sendings, journal)
-        wrong += history.check_not_run(sendings, journal)
+        wrong = history.check_answers(attempts)
+        wrong += history.check_agreement(attempts)
+        wrong += history.check_single_runs(attempts, journal)
+        wrong += history.check_not_run(attempts, journal)
         for home, target in (REGIONS, REGIONS[::-1]):
-            wrong += history.check_cap(sendings, puts, sights, list(d.vms),
+            wrong += history.check_cap(attempts, puts, samples, list(d.vms),
                                        home, target)
         for region in REGIONS:
-            wrong += history.check_peak(
+            wrong += history.check_concurrency(
                 region, d.peak("dossiers", region),
-                SERVERS * (SLOTS + SERVER_QUEUE), failures.silenced[region],
+                SERVERS * (SLOTS + SERVER_QUEUE), failures.stalls[region],
                 SLOTS, DEADLINE_MS / 1000 + 0.5)
-        wrong += history.check_versions_rise(sights)
+        wrong += history.check_versions_rise(samples)
         wrong += history.check_versions(puts, versions)
-        wrong += history.check_sheets(puts, versions, sights)
+        wrong += history.check_sheets(puts, versions, samples)
         return wrong
 
-    def report(self, d, seed, seconds, sendings, puts, version, failures):
+    def report(self, d, seed, seconds, attempts, puts, version, failures):
         answers = {}
-        for one in sendings:
+        for one in attempts:
             name = (one.status, one.outcome, one.reason)
             answers[name] = answers.get(name, 0) + 1
-        print("seed %d, %d s: %d failures, %d sendings, %d puts, version %d" %
-              (seed, seconds, failures.number, len(sendings), len(puts),
+        print("seed %d, %d s: %d failures, %d attempts, %d puts, version %d" %
+              (seed, seconds, failures.number, len(attempts), len(puts),
                version))
         for name, count in sorted(answers.items(), key=str):
             print("  %5d %s" % (count, name))
-        shifted = sum(1 for one in sendings
+        shifted = sum(1 for one in attempts
                       if one.region not in (None, one.home))
         print("  %5d in another region" % shifted)
         lost = sum(1 for put in puts if put.answers[-1][0] == 409)
