--- a/tests/e2e/entry_harness.py
+++ b/tests/e2e/entry_harness.py
@@ -1,9 +1,9 @@
-"""Entry VMs on the users' platform, as separate processes on loopback.
+"""Entry VMs in platform mode, as separate processes on loopback.
 
 The store and the backend servers are stand-ins on threads of the test; each
 entry VM is one sassafrassilld with a settings file as the platform writes it.
-Every entry VM has a loopback address of its own, and its own port of the
-store, so that the store can refuse one of them.
+Every entry VM has its own loopback address and its own port of the store, so
+that the store can refuse a single entry VM.
 """
 
 import contextlib
@@ -55,8 +55,8 @@
 
 
 def find_ports(ip, names):
-    """A free port for each name. They are held until all are found: the
-    kernel gives one that was released to the next who asks."""
+    """A free port for each name. All probe sockets stay open until the last
+    port is found, since the kernel may hand out a released port again."""
     with contextlib.ExitStack() as stack:
         probes = [stack.enter_context(socket.socket()) for _ in names]
         for probe in probes:
@@ -66,9 +66,10 @@
 
 
 @contextlib.contextmanager
-def hold_signals(*numbers):
-    """What is started meanwhile has them blocked until it takes them itself.
-    While the dynamic loader runs, before main, no program can."""
+def block_signals(*numbers):
+    """Processes started within this context begin with the signals blocked
+    and unblock them themselves. Otherwise a signal during dynamic loading,
+    before main, would kill the process."""
     before = signal.pthread_sigmask(signal.SIG_BLOCK, numbers)
     try:
         yield
@@ -101,10 +102,10 @@
                 zones=zones, store=self.store_port,
                 first_start=json.dumps(self.fleet.first_start),
                 **self.ports))
-        return self.start_again()
+        return self.spawn()
 
-    def start_again(self):
-        """With the settings that are there."""
+    def spawn(self):
+        """Starts the process with the existing settings file."""
         with open(self.log_path, "ab") as log:
             self.process = subprocess.Popen(
                 [os.path.join(BUILD, "bin", "sassafrassilld"),
@@ -164,9 +165,11 @@
 
 
 class Fleet:
-    """vms: zone of each entry VM; first_start: the whole system starts for the
-    first time; bounds: in place of the usual ones. Servers are added by
-    add_worker."""
+    """Entry VMs with a store; add_worker adds backend servers.
+
+    vms: zone of each entry VM; first_start: the whole system starts for the
+    first time; bounds: overrides of BOUNDS.
+    """
 
     def __init__(self, vms=("a", "b"), configured=True, first_start=False,
                  bounds=None):
@@ -178,8 +181,8 @@
         self.store = RowStore()
         self.workers = {}
         self.version = 0
-        # Addresses of this test process: a port that an entry VM leaves for
-        # a moment must not be taken by another test's.
+        # Each test process has its own addresses, so that another test cannot
+        # take the port of an entry VM that is restarting.
         pid = os.getpid()
         network = "127.%d.%d." % (1 + pid // 250 % 250, pid % 250)
         self.vms = [EntryVm(self, "vm-%d" % i, zone, network + str(i + 1))
@@ -190,8 +193,8 @@
     def __enter__(self):
         return self
 
-    def __exit__(self, *problem):
-        if problem[0] is not None:
+    def __exit__(self, *error):
+        if error[0] is not None:
             for vm in self.vms:
                 if os.path.exists(vm.log_path):
                     print("==", vm.name)
@@ -211,7 +214,7 @@
                    "all entry VMs ready")
         return self
 
-    # The operator.
+    # Configuration.
 
     def configure(self, routes=None, version=None, idle_s=15):
         self.version = version if version is not None else self.version + 3
@@ -261,16 +264,15 @@
         self.store.put("servers", name, row)
         return worker
 
-
     def add_worker_row(self, name, port):
-        """A server's row without a process behind it."""
+        """Adds the row of a server that has no process."""
         self.store.put("servers", name, {
             "service": "other", "zone": "a", "address": "127.0.0.1:%d" % port,
             "slots": 3, "state": "ready", "cold-left-ms": 0, "born": 1})
 
 
 def format_request(path, request_id, method="GET"):
-    """As a caller sends it who writes to a socket of its own."""
+    """The bytes of a request, for callers that write to a socket."""
     return ("%s %s HTTP/1.1\r\nHost: %s\r\n%s: %s\r\nContent-Length: 0\r\n"
             "X-Sassafrassill-Deadline-Ms: 8000\r\n\r\n" %
             (method, path, HOST, ID, request_id)).encode()
@@ -281,5 +283,5 @@
 
 
 __all__ = ["BUILD", "Fleet", "HOST", "ID", "SEAL", "exchange",
-           "format_request", "hold_signals", "signal", "socket", "time",
+           "format_request", "block_signals", "signal", "socket", "time",
            "wait_for"]
--- a/tests/e2e/harness.py
+++ b/tests/e2e/harness.py
@@ -1,9 +1,9 @@
 """Starts a whole deployment as separate processes on loopback.
 
-The stand-ins of the platform and of the backend servers, and one
-sassafrassilld for each entry VM. Every deployment has a loopback address of
-its own, and the kernel picks the ports. Callers of a region come from that
-region's block of addresses (127.10.0.0/16 for the first one, and so on).
+Runs the stand-ins of the platform and of the backend servers, and one
+sassafrassilld per entry VM. Every deployment has its own loopback address,
+and the kernel picks the ports. Callers of region N, counted from 0, use
+addresses in 127.(10 + N).0.0/16.
 """
 
 import http.client
@@ -19,12 +19,13 @@
 ROOT = os.path.dirname(os.path.dirname(os.path.dirname(
     os.path.abspath(__file__))))
 BUILD = os.environ.get("SAS_BUILD", os.path.join(ROOT, "build"))
-PATIENCE_S = 30
+WAIT_LIMIT_S = 30
 TOKEN = "e2e-operators-token"
 
 
 class Answer:
-    """A whole answer of the system."""
+    """A complete answer. Attributes read "Sas-" headers: answer.reason is
+    Sas-Reason, None where absent."""
 
     def __init__(self, status, headers, body):
         self.status = status
@@ -38,20 +39,21 @@
         return json.loads(self.body)
 
 
-def wait_until(condition, what, limit_s=PATIENCE_S):
-    """Polls; fails, naming what never came, after a generous limit."""
+def wait_until(condition, what, limit_s=WAIT_LIMIT_S):
+    """Polls until the condition is true and returns its value. Raises
+    AssertionError, naming what it waited for, after limit_s."""
     end = time.monotonic() + limit_s
     while True:
         value = condition()
         if value:
             return value
         if time.monotonic() > end:
-            raise AssertionError("never came: " + what)
+            raise AssertionError("timed out waiting for: " + what)
         time.sleep(0.02)
 
 
 def exchange(address, method, path, body=None, headers=None, source=None,
-             timeout=PATIENCE_S):
+             timeout=WAIT_LIMIT_S):
     connection = http.client.HTTPConnection(
         *address, timeout=timeout,
         source_address=(source, 0) if source else None)
@@ -64,7 +66,8 @@
 
 
 class Process:
-    """A child process; its standard output may name its ports."""
+    """A child process. With read_ports its standard output is a pipe on
+    which it prints its ports."""
 
     def __init__(self, name, arguments, log):
         self.name = name
@@ -79,6 +82,7 @@
         return self
 
     def read_lines(self, last):
+        """Yields the words of each line, up to one that begins with last."""
         for line in self.process.stdout:
             words = line.split()
             yield words
@@ -89,7 +93,7 @@
     def signal(self, number):
         self.process.send_signal(number)
 
-    def wait(self, timeout=PATIENCE_S):
+    def wait(self, timeout=WAIT_LIMIT_S):
         return self.process.wait(timeout)
 
     def stop(self):
@@ -102,10 +106,13 @@
 
 
 class Deployment:
-    """regions: names; vms: entry VMs a region; domains: failure domains a
-    region; blocks: networks of callers a region, each a /24 beside the
-    region's /16; services: name -> dict with backends (a region), slots,
-    queue, mean_ms, once, deadline_ms."""
+    """A running deployment; use it in a with statement.
+
+    regions: names; vms: entry VMs per region; domains: failure domains per
+    region; blocks: caller networks per region, each a /24 within the region's
+    /16; services: name -> dict with backends (per region), slots, queue,
+    mean_ms, once, deadline_ms.
+    """
 
     def __init__(self, regions=("montreal", "quebec"), vms=2, services=None,
                  limits=None, standin_arguments=(), placement=None,
@@ -172,7 +179,7 @@
             self.wait_ready(name)
 
     def peak(self, service, region):
-        """Most requests that ran and waited there at the same time."""
+        """Highest number of requests running and queued at once there."""
         index = list(self.standins).index((service, region))
         return exchange(("127.0.0.1", self.controls[index]), "GET",
                         "/counts?key=none").json()["peak"]
@@ -197,21 +204,22 @@
                 self.controls.append(int(words[1]))
 
     def pick_vms(self):
-        held = []
+        reserved = []
         for region in self.regions:
             for number in range(self.vms_per_region):
                 ports = []
                 for _ in range(3):
-                    held.append(socket.socket())
-                    held[-1].bind((self.ip, 0))
-                    ports.append(held[-1].getsockname()[1])
+                    reserved.append(socket.socket())
+                    reserved[-1].bind((self.ip, 0))
+                    ports.append(reserved[-1].getsockname()[1])
                 name = "%s-%d" % (region, number + 1)
                 self.vms[name] = (region, ports)
-        for one in held:
-            one.close()
+        for probe in reserved:
+            probe.close()
 
     def pick_domain(self, name, region):
-        """Names end in their number; a region's domains take turns."""
+        """Assigns a region's failure domains round-robin, by the number at
+        the end of the name."""
         number = int(name.rsplit("-", 1)[1]) - 1
         return region + "-" + self.domains[number % len(self.domains)]
 
@@ -302,7 +310,7 @@
                                  number >> 8 & 255, number & 255)
 
     def request(self, vm, path, method="GET", body=None, source=None,
-                timeout=PATIENCE_S, **headers):
+                timeout=WAIT_LIMIT_S, **headers):
         headers = {key.replace("_", "-"): str(value)
                    for key, value in headers.items()}
         return exchange(self.caller_address(vm), method, path, body, headers,
@@ -359,11 +367,11 @@
         statuses = [exchange(("127.0.0.1", port), "PUT", "/servers/" + pattern,
                              json.dumps(changes)).status
                     for port in self.controls]
-        # 404: no server of this name in that process.
+        # 404: that process has no server of this name.
         assert set(statuses) <= {200, 404} and 200 in statuses, statuses
 
     def counts(self):
-        """All servers' counts: name -> counts."""
+        """Counts of all backend servers by name."""
         servers = {}
         for port in self.controls:
             servers.update(exchange(("127.0.0.1", port), "GET",
@@ -371,12 +379,13 @@
         return servers
 
     def loads(self):
-        """What each backend server says of its load."""
+        """The load report of each backend server."""
         return [exchange(("127.0.0.1", port), "GET", "/v1/load").json()
                 for _, _, port in self.backends.values()]
 
     def loads_of_open(self):
-        """The same, waiting for those that are restarting."""
+        """The load reports, once every backend server accepts connections
+        again."""
         def read():
             try:
                 return self.loads()
@@ -385,8 +394,8 @@
         return wait_until(read, "every backend server answers")
 
     def count_key(self, key, what="started"):
-        """How often requests with this key were started (or another count),
-        on all backend servers together."""
+        """Sum of one count of this key over all backend servers; by default
+        how often its requests were started."""
         total = 0
         for port in self.controls:
             row = exchange(("127.0.0.1", port), "GET", "/counts?key=" +
@@ -395,7 +404,7 @@
         return total
 
     def counts_by_key(self):
-        """One process of backend servers after the other: key -> counts."""
+        """Yields key -> counts for each process of backend servers."""
         for port in self.controls:
             yield exchange(("127.0.0.1", port), "GET",
                            "/counts").json()["keys"]
--- a/tests/e2e/test_bad_input.py
+++ b/tests/e2e/test_bad_input.py
@@ -1,4 +1,4 @@
-"""Bad input at every port gets a clear error and loses nothing."""
+"""Bad input at any port gets a clear error and affects no other request."""
 
 import errno
 import http.client
@@ -8,7 +8,7 @@
 import threading
 import unittest
 
-from harness import PATIENCE_S, TOKEN, Deployment, wait_until
+from harness import TOKEN, WAIT_LIMIT_S, Deployment, wait_until
 
 BODY_LIMIT = 1000000
 READ_LIMIT_S = 30  # SasCaller_READ_TIMEOUT_MS; no setting changes it
@@ -21,7 +21,7 @@
 
 
 def parse(raw):
-    """The first answer in the bytes: status, headers, body."""
+    """Parses the first answer: status, headers, body."""
 
     class Source:
         def makefile(self, *unused):
@@ -33,18 +33,18 @@
 
 
 class Caller:
-    """A normal caller; every answer has to be its own, whole one."""
+    """A normal caller that checks that each answer is complete and its own."""
 
     def __init__(self, deployment):
         self.deployment = deployment
         self.wrong = []
         self.count = 0
-        self.over = False
+        self.stopped = False
         self.thread = threading.Thread(target=self.run)
         self.thread.start()
 
     def run(self):
-        while not self.over:
+        while not self.stopped:
             target = "/own/%d?bytes=2000" % self.count
             answer = self.deployment.request("montreal-1",
                                              "/s/dossiers" + target)
@@ -54,7 +54,7 @@
             self.count += 1
 
     def stop(self):
-        self.over = True
+        self.stopped = True
         self.thread.join()
 
 
@@ -80,13 +80,13 @@
         self.normal = Caller(self.d)
 
     def tearDown(self):
-        """After each kind of bad input: the normal caller got its answers,
-        goes on getting them, and the entry VM never restarted."""
+        """After each test the normal caller has got only correct answers and
+        continues to get them, and the entry VM has not exited."""
         before = self.normal.count
         try:
             wait_until(lambda: self.normal.count > before + 5 or
                        not self.normal.thread.is_alive(),
-                       "the normal caller goes on")
+                       "further answers to the normal caller")
         finally:
             self.normal.stop()
         self.assertEqual(self.normal.wrong, [])
@@ -94,12 +94,12 @@
         self.assertIsNone(self.d.nodes["montreal-1"].process.poll())
 
     def send(self, data, port="caller", end=True):
-        """What comes back until the other end closes; with end=False until
-        one answer is there."""
+        """Sends the data and returns the bytes received until the other end
+        closes. end: half-close the connection after the data."""
         source = (self.d.ip if port == "peer" else "127.0.0.1", 0)
         sent = socket.create_connection(self.ports[port],
-                                        PATIENCE_S + READ_LIMIT_S, source)
-        back = b""
+                                        WAIT_LIMIT_S + READ_LIMIT_S, source)
+        received = b""
         try:
             sent.sendall(data)
             if end:
@@ -108,18 +108,18 @@
                 part = sent.recv(65536)
                 if not part:
                     break
-                back += part
+                received += part
         except OSError as error:
-            # The other end refused by closing, before all of it was sent.
+            # The other end closed the connection before all data was sent.
             if error.errno not in (errno.EPIPE, errno.ECONNRESET,
                                    errno.ENOTCONN):
                 raise
         finally:
             sent.close()
-        return back
+        return received
 
-    def ask(self, *request, port="caller", body=b""):
-        """One request over a connection of its own, and its answer."""
+    def exchange(self, *request, port="caller", body=b""):
+        """Sends one request on a new connection; returns its answer."""
         target, *rest = request
         method, *lines = rest or [b"GET"]
         raw = self.send(head(target, method, b"Connection: close", *lines) +
@@ -142,8 +142,8 @@
 
     # Callers' requests.
 
-    # Connections that end in the middle of a request: nothing was asked
-    # whole, so nothing runs, wherever they end.
+    # A request whose connection ends before it is complete does not run,
+    # whatever the number of bytes sent.
     def test_truncated_requests_do_not_run(self):
         whole = head(b"/s/dossiers/cut", b"POST", b"Idempotency-Key: cut-1",
                      b"Content-Length: 10") + b"0123456789"
@@ -164,23 +164,24 @@
         chunked = self.send(head(b"/s/dossiers/x", b"POST",
                                  b"Idempotency-Key: big-1",
                                  b"Transfer-Encoding: chunked") + chunk)
-        # The reset that follows may overtake the answer.
+        # The reset that follows may discard the answer.
         self.assertIn(chunked[:12], (b"HTTP/1.1 413", b""))
         self.check_not_run("big-1")
         wait_until(lambda: self.counter(
             "sas_http_errors_total", 'port="caller"') >= errors + 2,
-            "they are counted")
-        at_limit = self.ask(b"/s/dossiers/x", b"POST",
-                            b"Content-Length: %d" % BODY_LIMIT,
-                            body=b"y" * BODY_LIMIT)
+            "both to be counted")
+        at_limit = self.exchange(b"/s/dossiers/x", b"POST",
+                                 b"Content-Length: %d" % BODY_LIMIT,
+                                 body=b"y" * BODY_LIMIT)
         self.assertEqual(at_limit[0], 200)
 
-    # A backend server would refuse such a head by closing its connection,
-    # and the caller would be told that its request may have run.
+    # Guards against passing on oversized headers: a backend server refuses
+    # them by closing its connection, and the outcome would be "unknown".
     def test_header_floods_are_refused(self):
-        long_one = self.ask(b"/s/dossiers/x", b"POST",
-                            b"Idempotency-Key: flood-1", b"Content-Length: 0",
-                            b"A: " + b"a" * 100000)
+        long_one = self.exchange(b"/s/dossiers/x", b"POST",
+                                 b"Idempotency-Key: flood-1",
+                                 b"Content-Length: 0",
+                                 b"A: " + b"a" * 100000)
         self.check_refused(long_one, 400, "bad-request")
         many = self.send(head(b"/s/dossiers/x", b"POST",
                               b"Idempotency-Key: flood-1",
@@ -190,8 +191,7 @@
         self.send(b"GET /s/dossiers/x HTTP/1.1\r\nA: " + b"a" * 3000000)
         self.check_not_run("flood-1")
 
-    # Requests one behind the other on one connection, with a slow one
-    # first: each gets its own answer, in their order.
+    # Pipelined requests, the slowest first, are answered in order.
     def test_pipelined_requests_are_answered_in_order(self):
         targets = ["/p/%d?ms=%d" % (i, 40 - 4 * i) for i in range(10)]
         raw = self.send(b"".join(
@@ -205,8 +205,8 @@
             at = found
         self.assertEqual(raw.count(b"HTTP/1.1 200"), len(targets))
 
-    # Wrong values are refused and not run; the key would otherwise not
-    # protect what it names, and the deadline not be the caller's.
+    # Guards against running a request without the idempotency key or the
+    # deadline that its caller meant.
     def test_wrong_headers_are_refused(self):
         refused = self.counter("sas_refusals_total", 'reason="bad-request"')
         wrong = [b"Sas-Deadline-Ms: soon", b"Sas-Deadline-Ms: -1",
@@ -216,54 +216,54 @@
                  b"Idempotency-Key: \xc3\xa9", b"Sas-Caller: ",
                  b"Sas-Caller: " + b"c" * 129]
         for line in wrong:
-            answer = self.ask(b"/s/dossiers/visits/1", b"POST",
-                              b"Content-Length: 0", line)
+            answer = self.exchange(b"/s/dossiers/visits/1", b"POST",
+                                   b"Content-Length: 0", line)
             self.check_refused(answer, 400, "bad-request")
         self.assertEqual(
             self.counter("sas_refusals_total", 'reason="bad-request"'),
             refused + len(wrong))
-        over = self.ask(b"/s/dossiers/x", b"GET", b"Sas-Deadline-Ms: 0")
+        over = self.exchange(b"/s/dossiers/x", b"GET", b"Sas-Deadline-Ms: 0")
         self.check_refused(over, 504, "deadline")
-        longest = self.ask(b"/s/dossiers/x", b"GET",
-                           b"Sas-Deadline-Ms: 99999999999999999999")
+        longest = self.exchange(b"/s/dossiers/x", b"GET",
+                                b"Sas-Deadline-Ms: 99999999999999999999")
         self.assertEqual(longest[0], 200)
 
-    # A path written in another way is the same path for many servers. It
-    # must not get round the guard of a route that may not run twice.
-    def test_a_once_route_is_known_in_every_spelling(self):
+    # Guards against requests that avoid the duplicate check of a "once" route
+    # by another spelling of the path, which many servers normalize.
+    def test_a_once_route_matches_every_spelling_of_its_path(self):
         self.normal.stop()
         before = self.count_started()
         for target in (b"/visits/1", b"/./visits/1", b"/x/../visits/1",
                        b"/%76isits/1", b"//visits/1", b"/visits/../visits/1",
                        b"/visits", b"/visits?a=/../b"):
-            answer = self.ask(b"/s/dossiers" + target, b"POST",
-                              b"Content-Length: 0")
+            answer = self.exchange(b"/s/dossiers" + target, b"POST",
+                                   b"Content-Length: 0")
             self.check_refused(answer, 400, "key-missing")
-        out = self.ask(b"/s/dossiers/../galerie/x", b"POST",
-                       b"Content-Length: 0")
+        out = self.exchange(b"/s/dossiers/../galerie/x", b"POST",
+                            b"Content-Length: 0")
         self.check_refused(out, 400, "bad-request")
         self.assertEqual(self.count_started(), before)
         self.normal = Caller(self.d)
 
-    def test_unknown_services_and_paths(self):
+    def test_unknown_services_and_paths_are_refused(self):
         for target in (b"/s/nowhere/x", b"/s/", b"/s", b"/s/" + b"d" * 300,
                        b"/s/%00/x", b"/v1/lookup",
                        b"/v1/lookup?service=nowhere"):
-            answer = self.ask(target)
+            answer = self.exchange(target)
             self.check_refused(answer, 404, "unknown-service")
-        self.assertEqual(self.ask(b"/nowhere")[0], 404)
-        wrong = self.ask(b"/v1/lookup?service=dossiers&address=here")
+        self.assertEqual(self.exchange(b"/nowhere")[0], 404)
+        wrong = self.exchange(b"/v1/lookup?service=dossiers&address=here")
         self.check_refused(wrong, 400, "bad-request")
 
-    # Look-ups and health are only read; a method that no server knows must
-    # not be sent on, since its answer says nothing about what ran.
+    # Lookups and health are read-only. Unknown methods must not be passed on:
+    # the answer of a server does not tell whether they ran.
     def test_wrong_methods_are_refused(self):
         refused = self.counter("sas_refusals_total", 'reason="method"')
         cases = [(b"/v1/lookup?service=dossiers", b"POST"),
                  (b"/v1/health", b"DELETE"), (b"/s/dossiers/x", b"BREW"),
                  (b"/s/dossiers/x", b"TRACE"), (b"/s/dossiers/x", b"get")]
         for target, method in cases:
-            answer = self.ask(target, method, b"Content-Length: 0")
+            answer = self.exchange(target, method, b"Content-Length: 0")
             self.check_refused(answer, 405, "method")
         self.assertEqual(
             self.counter("sas_refusals_total", 'reason="method"'),
@@ -287,7 +287,7 @@
 
     # Operators' calls.
 
-    def test_admin_port_explains_what_is_wrong(self):
+    def test_admin_port_explains_errors(self):
         sheet = b"time,service,from,to,share,cap,drain,limits\n"
         for method, target, lines, body, status in (
                 (b"DELETE", b"/v1/sheet", (), b"", 405),
@@ -301,9 +301,9 @@
                 (b"PUT", b"/v1/sheet", (), b"\x00\xff\xfe\n", 422),
                 (b"PUT", b"/v1/sheet", (), b"", 422),
                 (b"PUT", b"/v1/sheet", (), sheet + b"+0,dossiers\n", 422)):
-            answer = self.ask(target, method, AUTHORIZATION.strip(), *lines,
-                              b"Content-Length: %d" % len(body), port="admin",
-                              body=body)
+            answer = self.exchange(
+                target, method, AUTHORIZATION.strip(), *lines,
+                b"Content-Length: %d" % len(body), port="admin", body=body)
             self.assertEqual(answer[0], status, (method, target, lines))
             self.assertIn(b'"reason"', answer[2])
         large = self.send(head(b"/v1/sheet", b"PUT", AUTHORIZATION.strip(),
@@ -314,8 +314,8 @@
 
     # Every port.
 
-    # Bytes as a port scan or a confused program would send them. The seeds
-    # are fixed; every connection comes to its end.
+    # Random bytes, as from a port scan, with fixed seeds. Every connection is
+    # closed.
     def test_random_bytes_harm_nothing(self):
         for port in self.ports:
             for seed in range(40):
@@ -328,9 +328,9 @@
         for vm in self.d.vms:
             self.assertEqual(self.d.health(vm), 200)
 
-    # A stranger on the peer port, without the key of the entry VMs: its
-    # records are counted and dropped, and the peers still hear each other.
-    def test_peer_port_takes_nothing_without_the_key(self):
+    # Records from a sender without the peer key are counted and dropped, and
+    # the peers still consider each other live.
+    def test_peer_port_rejects_records_without_the_key(self):
         before = self.count_peer_refusals()
         for size in (0, 4, 60, 200, 4000):
             record = random.Random(size).randbytes(size)
@@ -341,7 +341,7 @@
                    "the refusals are counted")
         wait_until(lambda: [peer["state"] for peer in
                             self.d.status("montreal-1")["peers"]] == ["live"],
-                   "the peers hear each other")
+                   "the peers are live")
 
     def count_peer_refusals(self):
         return sum(self.counter("sas_peer_events_total",
@@ -350,9 +350,9 @@
                                  "bad_record", "bad_digest", "bad_message",
                                  "bad_identity", "hello_timeout"))
 
-    # Senders that stop in the middle hold memory and a connection. Each is
-    # cut off by the read time limit; the test waits for that limit once.
-    def test_slow_senders_are_cut_off(self):
+    # Guards against senders that stall and hold memory and a connection: the
+    # read timeout disconnects them. The test waits for that timeout once.
+    def test_stalled_senders_are_disconnected(self):
         ended = {}
 
         def stall(name, data, port):
--- a/tests/e2e/test_signals.py
+++ b/tests/e2e/test_signals.py
@@ -1,5 +1,5 @@
 #!/usr/bin/python3
-"""Signals at any moment from main's first step to the process's end."""
+"""Signals at any time from the beginning of main to the process's end."""
 
 import errno
 import os
@@ -7,37 +7,37 @@
 import threading
 import unittest
 
-from entry_harness import Fleet, hold_signals, signal, time, wait_for
+from entry_harness import Fleet, block_signals, signal, time, wait_for
 from harness import Deployment
 
 GAP_S = 0.0001  # between two signals
 
 
-class Storm(threading.Thread):
-    """Sends the signals to a process in turn, until it has ended or quit() is
-    called."""
+class SignalFlood(threading.Thread):
+    """Sends signals to a process in turn until it has ended or stop_sending()
+    is called."""
 
     def __init__(self, process, *numbers):
         super().__init__()
         self.process = process
         self.numbers = numbers
-        self.over = False
+        self.stopped = False
         self.start()
 
     def run(self):
-        while not self.over and self.process.poll() is None:
+        while not self.stopped and self.process.poll() is None:
             for number in self.numbers:
                 self.process.send_signal(number)
             time.sleep(GAP_S)
 
-    def quit(self):
-        self.over = True
+    def stop_sending(self):
+        self.stopped = True
         self.join()
 
 
-class HeldStart:
-    """The settings are a pipe: the process stands still in main, right after
-    its first steps, until let_go()."""
+class BlockedStart:
+    """Replaces the settings file by a FIFO: the process blocks at the
+    beginning of main, where it reads the settings, until unblock()."""
 
     def __init__(self, path):
         self.path = path
@@ -51,7 +51,7 @@
         wait_for(self.open_pipe, "main reads the settings")
 
     def open_pipe(self):
-        """Nobody can write to a pipe that isn't open at its other end."""
+        """A FIFO cannot be opened for writing before its reader (ENXIO)."""
         try:
             self.pipe = os.open(self.path, os.O_WRONLY | os.O_NONBLOCK)
         except OSError as error:
@@ -59,20 +59,20 @@
                 raise
         return self.pipe is not None
 
-    def let_go(self):
-        """From now on the path is a file, as it was."""
+    def unblock(self):
+        """Restores the file and lets the process read the settings."""
         with open(self.path + ".new", "wb") as file:
             file.write(self.text)
         shutil.move(self.path + ".new", self.path)
         try:
             os.write(self.pipe, self.text)
         except BrokenPipeError:
-            pass  # the process has ended; the test sees that
+            pass  # the process has ended; the test checks for that
         os.close(self.pipe)
 
 
-class Entry:
-    """One entry VM on the users' platform."""
+class PlatformMode:
+    """One entry VM in platform mode."""
 
     def __init__(self):
         self.fleet = Fleet(vms=("a",))
@@ -85,16 +85,16 @@
         self.stop()
         return self
 
-    def __exit__(self, *problem):
-        self.fleet.__exit__(*problem)
+    def __exit__(self, *error):
+        self.fleet.__exit__(*error)
 
     def settings(self):
         return self.vm.settings_path
 
-    def start(self, held=False):
-        """With held, the settings are not written anew over the pipe."""
-        if held:
-            self.vm.start_again()
+    def start(self, blocked=False):
+        """blocked: does not overwrite the FIFO with a settings file."""
+        if blocked:
+            self.vm.spawn()
         else:
             self.vm.start()
 
@@ -107,12 +107,12 @@
     def is_ready(self):
         return self.vm.is_ready()
 
-    def has_taken_reload(self):
+    def has_handled_reload(self):
         return bool(self.vm.find_lines("process.reload"))
 
 
-class Node:
-    """One entry VM in the project's own mode, which has nothing to reload."""
+class StandaloneMode:
+    """One entry VM in standalone mode, which has nothing to reload."""
 
     def __init__(self):
         self.deployment = Deployment(regions=("montreal",), vms=1,
@@ -123,14 +123,14 @@
         self.stop()
         return self
 
-    def __exit__(self, *problem):
-        self.deployment.__exit__(*problem)
+    def __exit__(self, *error):
+        self.deployment.__exit__(*error)
 
     def settings(self):
         return self.deployment.path("settings.toml")
 
-    def start(self, held=False):
-        del held
+    def start(self, blocked=False):
+        del blocked
         self.deployment.start_node("montreal-1")
 
     def stop(self):
@@ -142,89 +142,89 @@
     def is_ready(self):
         return self.deployment.health("montreal-1") == 200
 
-    def has_taken_reload(self):
+    def has_handled_reload(self):
         with open(self.deployment.path("montreal-1.log"), "rb") as log:
             return b"signal 1:" in log.read()
 
 
 class Signals:
-    """Both modes."""
+    """Tests of both modes; subclasses set mode."""
 
     def wait_ready(self, vm):
         wait_for(lambda: vm.is_ready() or vm.process().poll() is not None,
                  "a process that is ready, or has ended")
         self.assertIsNone(vm.process().poll())
 
-    def start_held(self, vm):
-        held = HeldStart(vm.settings())
-        vm.start(held=True)
-        held.reach_main()
-        return held
+    def start_blocked(self, vm):
+        blocked = BlockedStart(vm.settings())
+        vm.start(blocked=True)
+        blocked.reach_main()
+        return blocked
 
-    # Guards against a hang-up that ends a process which has just been started,
-    # or is lost: from main's first step on until it is ready.
-    def test_a_reload_while_it_starts_is_taken(self):
+    # Guards against a SIGHUP between the beginning of main and readiness that
+    # kills the process or is lost.
+    def test_reloads_during_startup_are_handled(self):
         with self.mode() as vm:
-            held = self.start_held(vm)
-            storm = Storm(vm.process(), signal.SIGHUP)
-            held.let_go()
+            blocked = self.start_blocked(vm)
+            flood = SignalFlood(vm.process(), signal.SIGHUP)
+            blocked.unblock()
             self.wait_ready(vm)
-            storm.quit()
-            wait_for(vm.has_taken_reload, "the reload")
+            flood.stop_sending()
+            wait_for(vm.has_handled_reload, "the reload")
             vm.process().send_signal(signal.SIGTERM)
             self.assertEqual(vm.process().wait(30), 0)
 
-    # Guards against a single hang-up in the start that is lost.
-    def test_one_reload_while_it_starts_is_taken(self):
+    # Guards against losing a single SIGHUP during startup.
+    def test_a_single_reload_during_startup_is_handled(self):
         with self.mode() as vm:
-            held = self.start_held(vm)
+            blocked = self.start_blocked(vm)
             vm.process().send_signal(signal.SIGHUP)
-            held.let_go()
+            blocked.unblock()
             self.wait_ready(vm)
-            wait_for(vm.has_taken_reload, "the reload")
+            wait_for(vm.has_handled_reload, "the reload")
             vm.process().send_signal(signal.SIGTERM)
             self.assertEqual(vm.process().wait(30), 0)
 
-    # Guards against a stop in the start that ends the process as a failure.
-    def test_a_stop_while_it_starts_is_graceful(self):
+    # Guards against a stop during startup with a status other than 0.
+    def test_a_stop_during_startup_is_graceful(self):
         for number in (signal.SIGTERM, signal.SIGINT):
             with self.subTest(number), self.mode() as vm:
-                held = self.start_held(vm)
+                blocked = self.start_blocked(vm)
                 vm.process().send_signal(number)
-                held.let_go()
+                blocked.unblock()
                 self.assertEqual(vm.process().wait(30), 0)
 
-    # Guards against a hang-up, or a further stop, that ends a process which is
-    # stopping as a failure: its handlers go before it does.
-    def test_signals_until_the_end_of_a_stop_change_nothing(self):
+    # Guards against a SIGHUP or a further SIGTERM that kills a stopping
+    # process after it has removed its handlers.
+    def test_signals_during_a_stop_have_no_effect(self):
         with self.mode() as vm:
             vm.start()
             self.wait_ready(vm)
             vm.process().send_signal(signal.SIGTERM)
-            storm = Storm(vm.process(), signal.SIGHUP, signal.SIGTERM)
-            self.addCleanup(storm.quit)
+            flood = SignalFlood(vm.process(), signal.SIGHUP, signal.SIGTERM)
+            self.addCleanup(flood.stop_sending)
             self.assertEqual(vm.process().wait(30), 0)
 
-    # Guards against a process that keeps the signals blocked which whoever
-    # started it had blocked.
-    def test_signals_that_were_blocked_at_the_start_are_taken(self):
+    # Guards against a process that inherits a mask of blocked signals and does
+    # not unblock them.
+    def test_signals_blocked_by_the_parent_are_handled(self):
         numbers = (signal.SIGHUP, signal.SIGTERM)
         with self.mode() as vm:
-            with hold_signals(*numbers):
+            with block_signals(*numbers):
                 vm.start()
             vm.process().send_signal(signal.SIGHUP)
             self.wait_ready(vm)
-            wait_for(vm.has_taken_reload, "the reload")
+            wait_for(vm.has_handled_reload, "the reload")
             vm.process().send_signal(signal.SIGTERM)
             self.assertEqual(vm.process().wait(30), 0)
 
 
-class EntrySignals(Signals, unittest.TestCase):
-    mode = Entry
+class PlatformSignals(Signals, unittest.TestCase):
+    mode = PlatformMode
 
 
-class NodeSignals(Signals, unittest.TestCase):
-    mode = Node
+class StandaloneSignals(Signals, unittest.TestCase):
+    mode = StandaloneMode
 
 
 if __name__ == "__main__":
--- a/tests/e2e/test_slow_uploads.py
+++ b/tests/e2e/test_slow_uploads.py
@@ -1,11 +1,11 @@
-"""Uploads over slow links arrive whole, however long they take."""
+"""Slow uploads arrive completely, however long they take."""
 
 import socket
 import threading
 import time
 import unittest
 
-from harness import PATIENCE_S, Deployment
+from harness import WAIT_LIMIT_S, Deployment
 
 READ_LIMIT_S = 30  # SasCaller_READ_TIMEOUT_MS; no setting changes it
 PARTS = READ_LIMIT_S + 6
@@ -16,43 +16,42 @@
 class SlowUploadsTest(unittest.TestCase):
 
     def connect(self, d):
-        one = socket.create_connection(d.caller_address("montreal-1"))
-        one.settimeout(READ_LIMIT_S + PATIENCE_S)
-        return one
+        connection = socket.create_connection(d.caller_address("montreal-1"))
+        connection.settimeout(READ_LIMIT_S + WAIT_LIMIT_S)
+        return connection
 
-    def read_answer(self, one):
+    def read_answer(self, connection):
         answer = b""
         while b"body_hash" not in answer:
-            part = one.recv(65536)
+            part = connection.recv(65536)
             if not part:
                 break
             answer += part
         return answer
 
     def upload(self, d, answers):
-        one = self.connect(d)
+        connection = self.connect(d)
         try:
-            one.sendall(HEAD % (b"POST", PARTS))
+            connection.sendall(HEAD % (b"POST", PARTS))
             for _ in range(PARTS):
                 time.sleep(1)
-                one.sendall(b"p")
-            answers["slow"] = self.read_answer(one)
+                connection.sendall(b"p")
+            answers["slow"] = self.read_answer(connection)
         except OSError as error:
             answers["slow"] = repr(error).encode()
-        one.close()
+        connection.close()
 
     def stay_idle(self, d, answers):
-        one = self.connect(d)
-        one.sendall(HEAD % (b"GET", 0))
-        answers["first"] = self.read_answer(one)
-        answers["idle"] = one.recv(1)
-        one.close()
+        connection = self.connect(d)
+        connection.sendall(HEAD % (b"GET", 0))
+        answers["first"] = self.read_answer(connection)
+        answers["idle"] = connection.recv(1)
+        connection.close()
 
-    # A crew sends a photo from a cellar, slowly but steadily, for longer
-    # than the read time limit. The limit is for senders that have stopped;
-    # counted from the request's start it cut off everybody with a slow
-    # link. Connections on which nothing comes still end by it.
-    def test_the_read_limit_is_for_those_who_stopped(self):
+    # Guards against a read timeout that counts from the request's start and
+    # interrupts slow but steady uploads. It must count from the last byte; it
+    # still closes idle connections.
+    def test_the_read_timeout_is_only_for_stalled_senders(self):
         with Deployment(regions=("montreal",), vms=1,
                         services={"dossiers": {"deadline_ms": 60000}}) as d:
             answers = {}
--- a/tests/soak/proxy.py
+++ b/tests/soak/proxy.py
@@ -1,13 +1,13 @@
-"""A loopback proxy that harms the connections that pass through it.
+"""A loopback proxy that disrupts the connections that pass through it.
 
-Modes, which may change at any moment and hold for old connections too:
+The mode may change at any time and applies to open connections too:
 
-    ""         passes bytes on
-    "delay"    passes them on after delay_s
-    "silent"   keeps connections open and passes nothing on, either way
-    "deaf"     passes on what the client sends and keeps the answers back
+    ""         relays bytes
+    "delay"    relays bytes after delay_s
+    "silent"   keeps connections open and relays nothing in either direction
+    "deaf"     relays what the client sends and holds back the answers
     "refuse"   closes new connections at once
-`reset()` ends all connections with a reset.
+`reset()` resets all connections.
 """
 
 import select
@@ -16,15 +16,15 @@
 import threading
 import time
 
-CHUNK = 65536
+CHUNK_BYTES = 65536
 
 
 def reset_both(pair):
-    for end in pair:
+    for connection in pair:
         try:
-            end.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
-                           struct.pack("ii", 1, 0))
-            end.close()
+            connection.setsockopt(socket.SOL_SOCKET, socket.SO_LINGER,
+                                  struct.pack("ii", 1, 0))
+            connection.close()
         except OSError:
             pass
 
@@ -74,10 +74,10 @@
         with self.lock:
             self.pairs.add(pair)
         try:
-            self.carry(client, server)
+            self.relay(client, server)
         except (OSError, ValueError):
-            # A reset on one side must not look like an orderly end on the
-            # other: an answer without a length would seem whole.
+            # A reset must not become an orderly close on the other side: an
+            # answer without a length would seem complete.
             reset_both(pair)
         finally:
             with self.lock:
@@ -85,23 +85,23 @@
             client.close()
             server.close()
 
-    def carry(self, client, server):
-        # Not select: with a hundred entry VMs descriptors go beyond its 1024.
+    def relay(self, client, server):
+        # Not select: 100 entry VMs need descriptors beyond its limit, 1024.
         poller = select.poll()
-        ends = {end.fileno(): end for end in (client, server)}
-        for number in ends:
+        sockets = {source.fileno(): source for source in (client, server)}
+        for number in sockets:
             poller.register(number, select.POLLIN)
         while not self.stopped:
             for number, _ in poller.poll(50):
-                end = ends[number]
-                other = server if end is client else client
+                source = sockets[number]
+                peer = server if source is client else client
                 if self.mode == "silent" or (self.mode == "deaf" and
-                                             end is server):
+                                             source is server):
                     time.sleep(0.02)
                     continue
-                data = end.recv(CHUNK)
+                data = source.recv(CHUNK_BYTES)
                 if not data:
                     return
                 if self.mode == "delay":
                     time.sleep(self.delay_s)
-                other.sendall(data)
+                peer.sendall(data)
--- a/tests/soak/soak.py
+++ b/tests/soak/soak.py
@@ -1,35 +1,39 @@
 #!/usr/bin/python3
-"""Fault soak: the real programs as processes, harmed from outside.
+"""Fault soak: the real programs as processes, with faults around them.
 
     soak.py [--seed N] [--seeds N] [--seconds N] [--vms N] [--planned]
             [--report FILE] [--plot FILE]
 
 Entry VMs are processes; the store and the backend servers are stand-ins on
-threads, behind proxies that delay, silence, cut and reset. The seed decides
-which faults come, when, and which overlap. Callers keep using open
-connections until the process behind them is gone. What is promised is checked
-from what callers got and servers ran; a violation is one whatever the timing.
-It ends only processes that it started, by their ids.
-
-Promises: a success is the server's whole answer to that very request; a
-request that may not repeat runs once; what is refused as not run never ran; a
-service runs only requests that a configuration sent there; a configuration
-never goes back in a process, nor does the operators' sheet, and an accepted
-one is in force everywhere at the end; a request that crashes servers stops
-being sent; a stop that nothing else disturbs cuts no request off; where
-nothing unplanned is near, a request has a whole answer or a refusal, or was
-never run, and what stands behind a closing answer was not; nothing ends by
-itself; and after the faults all is served again.
-
-Two of five seeds, and all with --planned, have planned work alone: stops,
-reloads, configurations, evacuations and servers that leave, over each other.
-
-Every other seed gives the entry VMs a key of their own. Those that start again
-may have a clock that is wrong by up to five seconds.
-
-One seed is `--seed N`; without it a fresh one is drawn and printed. `--seeds`
-plays as many, one after the other. Faults last, and pauses are drawn, in
-seconds; a run takes --seconds of faults and what recovery needs.
+threads, behind proxies that delay, stall, refuse and reset connections. The
+seed decides which faults occur, when, and which overlap. Callers keep using
+open connections until the process behind them has ended. The guarantees are
+checked on what callers received and servers ran, independently of timing. The
+soak ends only processes that it started, by their ids.
+
+Guarantees:
+  - a success is the server's complete answer to that request
+  - a non-idempotent request runs at most once
+  - a request that was refused as not run never ran
+  - a service runs only requests that a configuration routes to it
+  - versions of the configuration and of the operators' sheet never decrease
+    within a process, and an accepted one is in force everywhere at the end
+  - a poison request stops being sent after at most 9 crashes
+  - a stop without other faults near it interrupts no request
+  - without unplanned faults near it, a request gets a complete answer or a
+    refusal, or did not run; one behind a closing answer did not run
+  - no process exits by itself
+  - after the faults all requests are served again
+
+About two of five seeds, and all with --planned, have planned work only:
+stops, reloads, configurations, evacuations and leaving servers, overlapping.
+
+Every other seed sets a key for the entry VMs. Restarted ones may have a clock
+that is off by up to 5 s, except in planned work.
+
+`--seed N` is the first seed; without it a random one is drawn and printed.
+`--seeds` runs as many, one after the other. A run takes --seconds of faults
+and the time for recovery.
 """
 
 import argparse
@@ -45,27 +49,28 @@
 HERE = os.path.dirname(os.path.abspath(__file__))
 sys.path.insert(0, os.path.join(os.path.dirname(HERE), "e2e"))
 
-from entry_harness import (Fleet, exchange, hold_signals,  # noqa: E402
+from entry_harness import (Fleet, block_signals, exchange,  # noqa: E402
                            signal, wait_for)
-from callers import (Caller, GRACE_S, Keeper, LARGE, LONG,  # noqa: E402
-                     NOT_RUN, Opener, POISON, Pipeliner, SlowReader,
-                     describe, explain_loss, is_cut_by_limit)
+from callers import (Caller, GRACE_S, KeepAliveCaller,  # noqa: E402
+                     LARGE, LONG, NOT_RUN, NewConnectionCaller, POISON,
+                     Pipeliner, SlowReader, describe, explain_loss,
+                     may_hit_deadline)
 from proxy import Proxy  # noqa: E402
 
 SERVERS = 6
 CALLERS = [Caller] * 6 + [Pipeliner] * 3 + \
-    [SlowReader] * 2 + [Keeper] * 3 + [Opener] * 2
-TARGET = "x-sassafrassill-target-instance"
-STOP_CLEAR_S = 4  # nothing else near a stop, before and after
-# Crashes that a request may still cause after its third: what was on its way
-# at other entry VMs, and a keeper that died with what it knew.
-POISON_SLACK = 6
+    [SlowReader] * 2 + [KeepAliveCaller] * 3 + [NewConnectionCaller] * 2
+TARGET_HEADER = "x-sassafrassill-target-instance"
+STOP_CLEAR_S = 4  # without unplanned faults, before and after a stop
+# Crashes that a poison request may cause after the third: attempts in flight
+# at other entry VMs, and a coordinator that died with its counts.
+EXTRA_CRASHES = 6
 SHEETS = ["+0,desk,east,west,%d%%,,,", "+0,desk,west,east,%d%%,20 req/s,,",
           "+0,desk,east,west,%d%%,5 concurrent,,"]
 SHEET_HEADER = "time,service,from,to,share,cap,drain,limits\n"
 TOKEN = "a-token-of-operators"
-CLOCKS_MS = (0, 0, -5000, 5000, -300)
-IDLE_S = (1.5, 3, 15)  # limits of configurations
+CLOCK_OFFSETS_MS = (0, 0, -5000, 5000, -300)
+IDLE_S = (1.5, 3, 15)  # idle timeouts of the configurations
 PLANNED_SHARE = 0.4  # of the seeds
 
 
@@ -79,12 +84,12 @@
         zones = "abc"
         self.fleet = Fleet(vms=[zones[i % 3] for i in range(vms)])
         self.proxies = {}
-        self.sent = []
-        self.over = False
+        self.attempts = []
+        self.finished = False
         self.events = []
         self.stops = []     # (vm, from, to)
-        self.stopping = []  # vms, for now
-        self.troubles = []  # (from, to) of all that is unplanned
+        self.stopping = []  # entry VMs that are stopping now
+        self.unplanned = []  # (from, to) of unplanned faults
         self.lock = threading.Lock()
         self.exits = []
         self.allowed = {"/forms/": {"desk"}, "/filings/": {"desk"},
@@ -93,9 +98,9 @@
         self.generation = 0
         self.poisoned = False
         self.idle_s = 3
-        self.crashes = []   # moments at which the poison took a server down
-        self.operator = threading.Lock()  # one writes configurations
-        self.accepted = []  # versions of sheets that were acknowledged
+        self.crashes = []   # times of crashes by the poison request
+        self.operator = threading.Lock()  # held to write a configuration
+        self.accepted = []  # versions of accepted sheets
 
     # The deployment.
 
@@ -123,17 +128,17 @@
             vm.store_port = proxy.port
             vm.environment["SASSAFRASSILL_OPERATOR_TOKEN"] = TOKEN
             if self.seed % 2:
-                vm.environment["SASSAFRASSILL_PEER_KEY"] = "key of the soak %d" \
-                    % self.seed
+                vm.environment["SASSAFRASSILL_PEER_KEY"] = \
+                    "key of the soak %d" % self.seed
         self.fleet.configure(idle_s=self.idle_s)
         self.fleet.start()
 
     def log(self, text):
         self.events.append((time.monotonic(), text))
 
-    # Faults. Each returns after it is over; some run beside each other.
+    # Faults. Each returns when it is over; they run concurrently.
 
-    def harm_link(self):
+    def disrupt_link(self):
         name = self.rng.choice(sorted(self.proxies))
         mode = self.rng.choice(("delay", "silent", "deaf", "refuse", "reset"))
         self.log("link %s %s" % (name, mode))
@@ -149,13 +154,13 @@
         if mode in ("silent", "deaf"):
             proxy.reset()
 
-    def harm_store(self):
+    def disrupt_store(self):
         store = self.fleet.store
         what = self.rng.choice(("busy", "silent", "reset", "slow", "compact",
                                 "acks", "some", "some"))
         self.log("store " + what)
         if what == "some":
-            self.harm_store_for_some()
+            self.disrupt_store_for_some()
         elif what == "compact":
             store.compact()
         elif what == "acks":
@@ -169,46 +174,46 @@
             time.sleep(self.rng.uniform(1, 5))
             store.mode = ""
 
-    def harm_store_for_some(self):
-        """It serves the others, which have a change meanwhile."""
+    def disrupt_store_for_some(self):
+        """Fails for some entry VMs while the configuration changes."""
         store = self.fleet.store
-        harm = self.rng.choice((store.silenced, store.silenced,
-                                store.refused))
+        affected = self.rng.choice((store.silenced, store.silenced,
+                                    store.refused))
         ports = {vm.store_port for vm in self.rng.sample(
             self.fleet.vms, self.rng.randrange(1, len(self.fleet.vms)))}
-        harm |= ports
+        affected |= ports
         time.sleep(self.rng.uniform(0, 1))
         self.change_config()
         time.sleep(self.rng.uniform(1, 4))
-        harm -= ports
+        affected -= ports
 
-    def pick_vm(self, take=True):
-        """One that runs; at least two others must. It is the caller's until
-        it is no longer marked as handled."""
+    def pick_vm(self, reserve=True):
+        """Picks a running entry VM, or None unless at least two more run.
+        With reserve no other fault picks it until vm.reserved is cleared."""
         with self.lock:
             alive = [vm for vm in self.fleet.vms
                      if vm.process.poll() is None and not getattr(
-                         vm, "handled", False)]
+                         vm, "reserved", False)]
             if len(alive) <= 2:
                 return None
             vm = self.rng.choice(alive)
-            vm.handled = take
+            vm.reserved = reserve
             return vm
 
-    def start_again(self, vm):
-        offset = 0 if self.planned else self.rng.choice(CLOCKS_MS)
+    def restart_vm(self, vm):
+        offset = 0 if self.planned else self.rng.choice(CLOCK_OFFSETS_MS)
         vm.environment["SASSAFRASSILL_CLOCK_OFFSET_MS"] = str(offset)
         if offset:
             self.log("%s starts with a clock off by %d ms" % (vm.name,
                                                               offset))
-        # A reload may come at any moment. Until main runs only whoever starts
-        # the process can keep it from ending by that.
-        with hold_signals(signal.SIGHUP, signal.SIGTERM):
+        # A reload may come at any moment. Before main runs, only signals
+        # blocked by the parent keep SIGHUP from killing the process.
+        with block_signals(signal.SIGHUP, signal.SIGTERM):
             vm.start()
         vm.signal(signal.SIGHUP)
 
     def put_sheet(self):
-        """Two operators may do so at the same moment."""
+        """Puts a sheet; several may run at once."""
         vm = self.rng.choice(self.fleet.vms)
         row = self.rng.choice(SHEETS) % self.rng.randrange(0, 101, 10)
         try:
@@ -217,13 +222,13 @@
                               {"Authorization": "Bearer " + TOKEN},
                               timeout=8)
         except (OSError, http.client.HTTPException):
-            return  # its outcome is unknown
+            return  # the outcome is unknown
         if answer.status == 200:
             self.accepted.append(answer.json()["version"])
         self.log("sheet %s: %d" % (row, answer.status))
 
     def poison(self):
-        self.log("a request that crashes servers")
+        self.log("poison request")
         self.poisoned = True
 
     def kill_vm(self):
@@ -233,8 +238,8 @@
         self.log("kill " + vm.name)
         vm.stop()
         time.sleep(self.rng.uniform(0.1, 2))
-        self.start_again(vm)
-        vm.handled = False
+        self.restart_vm(vm)
+        vm.reserved = False
 
     def pause_vm(self):
         vm = self.pick_vm()
@@ -244,7 +249,7 @@
         vm.signal(signal.SIGSTOP)
         time.sleep(self.rng.uniform(0.2, 3))
         vm.signal(signal.SIGCONT)
-        vm.handled = False
+        vm.reserved = False
 
     def stop_vm(self):
         vm = self.pick_vm()
@@ -257,31 +262,31 @@
         if self.rng.random() < 0.3:
             vm.signal(signal.SIGTERM)
         if self.planned and self.rng.random() < 0.3:
-            self.hup_while_it_stops(vm)
+            self.hup_while_stopping(vm)
         code = vm.process.wait(30)
         self.stops.append((vm, began, time.monotonic()))
         self.stopping.remove(vm)
         if code != 0:
             self.exits.append((vm.name, code))
-        self.start_again(vm)
-        vm.handled = False
+        self.restart_vm(vm)
+        vm.reserved = False
 
-    def hup_while_it_stops(self, vm):
+    def hup_while_stopping(self, vm):
         try:
             vm.process.wait(self.rng.uniform(0, GRACE_S))
         except subprocess.TimeoutExpired:
-            self.log("reload %s, which stops" % vm.name)
+            self.log("reload %s while it stops" % vm.name)
             vm.signal(signal.SIGHUP)
 
     def hup_vm(self):
-        vm = self.pick_vm(take=False)
+        vm = self.pick_vm(reserve=False)
         if vm is not None:
             self.log("reload " + vm.name)
             vm.signal(signal.SIGHUP)
 
     def replace_server(self):
-        """One drains or crashes; a new start comes under its id or another,
-        and its address may go to the other service."""
+        """A server drains or its row is removed at once; it starts again, and
+        its address may serve the other service in between."""
         name = self.rng.choice(sorted(self.services))
         service = self.services[name]
         worker = self.fleet.workers[name]
@@ -296,7 +301,7 @@
             self.generation += 1
             generation = self.generation
         if self.rng.random() < 0.3:
-            # Its address is used again, by a server of its service's other.
+            # A server of the other service reuses its address.
             time.sleep(2)
             other = "vault" if service == "desk" else "desk"
             worker.name = "r%d" % generation
@@ -310,7 +315,7 @@
         self.add_server(name, service, zone, born=generation + 1)
 
     def leave_server(self):
-        """It drains, goes and starts again."""
+        """A server drains, its row is removed, and it starts again."""
         name = self.rng.choice(sorted(self.services))
         self.log("leave " + name)
         service, zone = self.services[name], "abc"[int(name[1]) % 3]
@@ -324,7 +329,7 @@
             born = self.generation + 1
         self.add_server(name, service, zone, born=born)
 
-    def spoil_answers(self):
+    def break_answers(self):
         name = self.rng.choice(sorted(self.services))
         what = self.rng.choice(("shed", "cut", "late-extra", "half",
                                 "unframed", "unsealed"))
@@ -367,10 +372,10 @@
 
     PLANNED = ("change_config", "hup_vm", "evacuate", "put_sheet",
                "leave_server")
-    FAULTS = ("harm_link", "harm_link", "harm_store", "kill_vm", "pause_vm",
-              "stop_vm", "replace_server", "spoil_answers", "slow_server",
-              "change_config", "hup_vm", "evacuate", "put_sheet", "put_sheet",
-              "poison")
+    FAULTS = ("disrupt_link", "disrupt_link", "disrupt_store", "kill_vm",
+              "pause_vm", "stop_vm", "replace_server", "break_answers",
+              "slow_server", "change_config", "hup_vm", "evacuate",
+              "put_sheet", "put_sheet", "poison")
     PLANNED_WORK = ("stop_vm", "stop_vm", "stop_vm", "hup_vm", "change_config",
                     "change_config", "evacuate", "leave_server", "put_sheet")
 
@@ -380,11 +385,11 @@
             getattr(self, name)()
         finally:
             if name not in self.PLANNED and name != "stop_vm":
-                self.troubles.append((began, time.monotonic()))
+                self.unplanned.append((began, time.monotonic()))
 
-    def harm(self):
-        """Faults one after the other and over each other, then one stop that
-        nothing disturbs."""
+    def inject_faults(self):
+        """Starts 1 to 3 faults every 0.1 to 1.5 s; returns when all are
+        over."""
         end = time.monotonic() + self.seconds
         threads = []
         while time.monotonic() < end:
@@ -402,15 +407,16 @@
     # Checks.
 
     def check_answers(self):
-        for sent in self.sent:
-            if sent.status is None or not 200 <= sent.status < 300:
+        for attempt in self.attempts:
+            if attempt.status is None or not 200 <= attempt.status < 300:
                 continue
-            if not sent.is_whole():
+            if not attempt.is_whole():
                 yield "%s %s got %r, sealed %s" % (
-                    sent.path, sent.id, sent.got[:80], sent.sealed)
+                    attempt.path, attempt.id, attempt.body_read[:80],
+                    attempt.sealed)
 
     def collect_runs(self):
-        """Requests that servers ran, by their ids."""
+        """Requests that servers ran, by request id."""
         runs = {}
         for worker in set(self.fleet.workers.values()):
             for request in worker.ran:
@@ -419,26 +425,28 @@
 
     def check_runs(self):
         runs = self.collect_runs()
-        for sent in self.sent:
-            ran = runs.get(sent.id, [])
-            if sent.body is not None and len(ran) > 1:
-                yield "%s %s ran %d times" % (sent.path, sent.id, len(ran))
-            if sent.body is not None and sent.status in NOT_RUN and ran:
+        for attempt in self.attempts:
+            ran = runs.get(attempt.id, [])
+            if attempt.body is not None and len(ran) > 1:
+                yield "%s %s ran %d times" % (attempt.path, attempt.id,
+                                              len(ran))
+            if attempt.body is not None and attempt.status in NOT_RUN and ran:
                 yield "%s %s was refused with %d and ran" % (
-                    sent.path, sent.id, sent.status)
+                    attempt.path, attempt.id, attempt.status)
             for request in ran:
-                if request.target != sent.path or \
-                        request.body != (sent.body or b""):
-                    yield "%s %s reached a server changed" % (sent.path,
-                                                              sent.id)
-                # By the id that the request named and the server accepted:
-                # one stand-in plays several ids, one after the other.
-                service = self.services[request.headers[TARGET]]
-                if service not in self.allowed[sent.prefix()]:
-                    yield "%s %s ran at %s" % (sent.path, sent.id, service)
+                if request.target != attempt.path or \
+                        request.body != (attempt.body or b""):
+                    yield "%s %s was changed on its way" % (attempt.path,
+                                                            attempt.id)
+                # Uses the server id in the request, which the server accepted:
+                # one stand-in has several ids, one after the other.
+                service = self.services[request.headers[TARGET_HEADER]]
+                if service not in self.allowed[attempt.prefix()]:
+                    yield "%s %s ran at %s" % (attempt.path, attempt.id,
+                                               service)
 
     def check_versions(self):
-        """Of configurations and of sheets, each in one run of a process."""
+        """Versions of configurations and of sheets rise in each process."""
         for vm in self.fleet.vms:
             last = {}
             for line in vm.log():
@@ -462,49 +470,49 @@
     def check_sheets(self):
         versions = self.read_sheets()
         if len(set(versions.values())) > 1:
-            yield "sheets in force at the end: %s" % versions
+            yield "different sheets in force at the end: %s" % versions
         lost = max(self.accepted, default=0) > max(versions.values())
         if lost or len(set(self.accepted)) < len(self.accepted):
             yield "accepted %s, in force %s" % (self.accepted, versions)
 
     def check_poison(self):
-        if len(self.crashes) > 3 + POISON_SLACK:
+        if len(self.crashes) > 3 + EXTRA_CRASHES:
             yield "one request crashed servers %d times" % len(self.crashes)
 
-    def is_clear(self, began, ended):
-        """Nothing unplanned is near."""
+    def is_undisturbed(self, began, ended):
+        """True without an unplanned fault within STOP_CLEAR_S."""
         return not any(t0 < ended + STOP_CLEAR_S and t1 > began - STOP_CLEAR_S
-                       for t0, t1 in self.troubles)
+                       for t0, t1 in self.unplanned)
 
     def check_stops(self):
-        """Requests that were cut by a stop with no trouble near it. What is
-        sent behind another may be left unread; check_losses has it. What the
-        stop's limit may cut are long look-ups alone."""
+        """Requests interrupted by a stop without an unplanned fault near it.
+        Pipelined requests may be left unread; check_losses checks those. The
+        shutdown deadline may interrupt only requests of LONG."""
         runs = self.collect_runs()
         for vm, began, ended in self.stops:
-            if not self.is_clear(began, ended):
+            if not self.is_undisturbed(began, ended):
                 continue
             if ended > began + GRACE_S:
                 yield "%s took %.3f s to stop" % (vm.name, ended - began)
-            for sent in self.sent:
-                if sent.vm is vm and sent.connected and \
-                        sent.status is None and not sent.second and \
-                        began - 1 < sent.at < began + 3 and \
-                        sent.ended_at - sent.at > 0.05 and \
-                        not (sent.path in LONG and is_cut_by_limit(
-                            sent, runs.get(sent.id, []), self.stops)):
+            for attempt in self.attempts:
+                if attempt.vm is vm and attempt.connected and \
+                        attempt.status is None and not attempt.pipelined and \
+                        began - 1 < attempt.sent_at < began + 3 and \
+                        attempt.ended_at - attempt.sent_at > 0.05 and \
+                        not (attempt.path in LONG and may_hit_deadline(
+                            attempt, runs.get(attempt.id, []), self.stops)):
                     yield "%s %s was cut by the stop of %s" % (
-                        sent.path, sent.id, vm.name)
+                        attempt.path, attempt.id, vm.name)
 
     def check_losses(self):
-        """With nothing unplanned near, an attempt has a whole answer or a
-        refusal, or no server ran it."""
+        """Without an unplanned fault near it, an attempt has a complete answer
+        or a refusal, or no server ran it."""
         runs = self.collect_runs()
-        for sent in self.sent:
-            ran = runs.get(sent.id, [])
-            loss = explain_loss(sent, ran, self.stops)
-            if loss and self.is_clear(sent.at, sent.ended_at):
-                yield "%s %s" % (describe(sent, ran, self.stops), loss)
+        for attempt in self.attempts:
+            ran = runs.get(attempt.id, [])
+            loss = explain_loss(attempt, ran, self.stops)
+            if loss and self.is_undisturbed(attempt.sent_at, attempt.ended_at):
+                yield "%s %s" % (describe(attempt, ran, self.stops), loss)
 
     def check_exits(self):
         for name, code in self.exits:
@@ -524,14 +532,14 @@
         return found
 
     def find_version(self, vm):
-        """Of the configuration in force."""
+        """Version of the configuration in force, from the log."""
         lines = [line for line in vm.log()
                  if line["step"] in ("process.start", "config.apply")]
         if not lines or lines[-1]["step"] == "process.start":
             return 0
         return int(re.search(r"version=(\d+)", lines[-1]["text"]).group(1))
 
-    def recover(self):
+    def wait_recovered(self):
         wait_for(lambda: all(vm.is_ready() for vm in self.fleet.vms),
                  "all entry VMs ready after the faults")
 
@@ -548,28 +556,29 @@
                 wait_for(lambda: served(vm, path), "%s to serve" % vm.name)
 
     def run(self):
-        """What was violated, as texts."""
+        """Runs the seed, and unless all work is planned one undisturbed stop
+        at the end. Returns violations as texts."""
         with self.fleet:
             try:
                 self.start()
                 callers = [kind(self, n) for n, kind in enumerate(CALLERS)]
-                self.harm()
+                self.inject_faults()
                 if not self.planned:
-                    self.stop_alone()
-                self.over = True
+                    self.stop_undisturbed()
+                self.finished = True
                 for caller in callers:
                     caller.join()
-                self.recover()
+                self.wait_recovered()
                 found = self.check()
             finally:
-                self.over = True
+                self.finished = True
                 for proxy in self.proxies.values():
                     proxy.stop()
             if found:
                 self.keep_logs()
             return found
 
-    def stop_alone(self):
+    def stop_undisturbed(self):
         time.sleep(STOP_CLEAR_S + 0.5)
         self.stop_vm()
         time.sleep(STOP_CLEAR_S)
@@ -588,8 +597,8 @@
 
 def count_answers(soak):
     counts = {}
-    for sent in soak.sent:
-        what = sent.status if sent.status is not None else "cut"
+    for attempt in soak.attempts:
+        what = attempt.status if attempt.status is not None else "cut"
         counts[what] = counts.get(what, 0) + 1
     return {str(k): counts[k] for k in sorted(counts, key=str)}
 
@@ -597,15 +606,15 @@
 def summarize(soak, found):
     return ("seed %d%s: %d requests %s, %d faults, %d stops, "
             "%d violations") % (
-        soak.seed, ", planned work alone" if soak.planned else "",
-        len(soak.sent), count_answers(soak), len(soak.events),
+        soak.seed, ", planned work only" if soak.planned else "",
+        len(soak.attempts), count_answers(soak), len(soak.events),
         len(soak.stops), len(found))
 
 
 REPORT_HEAD = """# Fault soak
 
-Real entry VMs as processes, harmed from outside (tests/soak/soak.py). A row is
-a seed; a violation is a promise that was broken, whatever the timing.
+Real entry VMs as processes, with faults around them (tests/soak/soak.py). A
+row is a seed; a violation is a broken guarantee, independent of timing.
 
 | seed | entry VMs | requests | answers | faults | crashes by one request | sheets accepted | stops | violations |
 | --- | --- | --- | --- | --- | --- | --- | --- | --- |
@@ -613,7 +622,7 @@
 
 
 def add_to_report(path, soak, found):
-    """A page that a person reads; a new one begins with its head."""
+    """Appends a row to a Markdown page; a new page begins with its head."""
     fresh = not os.path.exists(path)
     answers = ", ".join("%s: %d" % pair for pair in
                         count_answers(soak).items())
@@ -621,28 +630,29 @@
         if fresh:
             file.write(REPORT_HEAD)
         file.write("| %d | %d | %d | %s | %d | %d | %d | %d | %s |\n" % (
-            soak.seed, len(soak.fleet.vms), len(soak.sent), answers,
+            soak.seed, len(soak.fleet.vms), len(soak.attempts), answers,
             len(soak.events), len(soak.crashes), len(soak.accepted),
             len(soak.stops), "; ".join(found[:3]) or "none"))
 
 
 def plot(soak, path):
-    """Requests a second by how they ended, and the faults, as a picture; by
-    gnuplot (Debian: gnuplot-nox), which only this option needs."""
-    if not soak.sent:
+    """Plots requests per second by outcome, with the faults, as a PNG. Needs
+    gnuplot (Debian: gnuplot-nox)."""
+    if not soak.attempts:
         return
-    began = soak.sent[0].at
+    began = soak.attempts[0].sent_at
     names = ("answered", "refused", "failed", "cut")
     seconds = {}
-    for sent in soak.sent:
-        name = "cut" if sent.status is None else \
-            "answered" if sent.status < 300 else \
-            "refused" if sent.status in NOT_RUN else "failed"
-        row = seconds.setdefault(int(sent.at - began), dict.fromkeys(names, 0))
+    for attempt in soak.attempts:
+        name = "cut" if attempt.status is None else \
+            "answered" if attempt.status < 300 else \
+            "refused" if attempt.status in NOT_RUN else "failed"
+        row = seconds.setdefault(int(attempt.sent_at - began),
+                                 dict.fromkeys(names, 0))
         row[name] += 1
     lines = ["set terminal png size 1400,700",
              "set output '%s'" % path, "set key outside",
-             "set xlabel 'seconds'", "set ylabel 'requests a second'",
+             "set xlabel 'seconds'", "set ylabel 'requests per second'",
              "set title 'seed %d'" % soak.seed, "$data << EOD"]
     lines += ["%d %s" % (at, " ".join(str(row[n]) for n in names))
               for at, row in sorted(seconds.items())]
