--- a/tests/e2e/test_at_most_once.py
+++ b/tests/e2e/test_at_most_once.py
@@ -1,4 +1,4 @@
-"""What may not repeat runs at most once, and "not run" is true."""
+"""Requests with an idempotency key run at most once, and "not-run" is true."""
 
 import signal
 import threading
@@ -30,9 +30,9 @@
                               "POST", body, Sas_Caller="inspector",
                               Idempotency_Key=key, **headers)
 
-    # A certificate is issued; its answer gets lost on the way, the
-    # inspector's tablet sends it again, through another entry VM.
-    def test_a_resend_gets_the_first_answer(self):
+    # Guards against a second run when a caller that lost the answer retries
+    # through another entry VM.
+    def test_a_retry_gets_the_first_answer(self):
         first = self.issue("resend-1")
         self.assertEqual(first.status, 200, first.body)
         again = self.issue("resend-1", vm="quebec-2")
@@ -40,14 +40,14 @@
         self.assertEqual(again.replayed, "1")
         self.assertEqual(self.d.count_key("resend-1"), 1)
 
-    def test_a_large_answer_is_kept_too(self):
+    def test_a_large_answer_is_replayed_too(self):
         first = self.issue("large-1", query="?bytes=300000")
         again = self.issue("large-1", vm="quebec-1", query="?bytes=300000")
         self.assertEqual(len(first.body), 300000)
         self.assertEqual(again.body, first.body)
         self.assertEqual(self.d.count_key("large-1"), 1)
 
-    def test_the_key_is_required_and_names_one_request(self):
+    def test_the_key_is_required_and_bound_to_one_request(self):
         missing = self.d.request("montreal-1", "/s/dossiers/certificates/7",
                                  "POST", b"x")
         self.assertEqual((missing.status, missing.reason),
@@ -57,8 +57,8 @@
         self.assertEqual((other.status, other.reason), (422, "key-reused"))
         self.assertEqual(self.d.count_key("one-1"), 1)
 
-    # The same certificate is sent at two entry VMs at the same moment.
-    def test_two_nodes_at_once_run_it_once(self):
+    # The same request arrives at three entry VMs at the same time.
+    def test_concurrent_duplicates_run_once(self):
         for number in range(8):
             key = "both-%d" % number
             answers = []
@@ -76,9 +76,9 @@
                     self.assertEqual(answer.outcome, "unknown")
                     self.assertIsNotNone(answer.headers["Retry-After"])
 
-    # The store is down: nobody could tell whether it ran before, so it does
-    # not run now, and the inspector is told so at once.
-    def test_without_the_store_it_is_not_run(self):
+    # With the store down an entry VM cannot know whether a request ran before,
+    # so it refuses the request at once as not run.
+    def test_without_the_store_nothing_runs(self):
         self.d.control_platform(down=True)
         answer = self.issue("down-1")
         self.assertEqual((answer.status, answer.outcome), (503, "not-run"))
@@ -91,8 +91,8 @@
         self.assertEqual(again.status, 200)
         self.assertEqual(self.d.count_key("down-1"), 1)
 
-    # The store takes the claim, but its acknowledgement is lost; then the
-    # same with the outcome's.
+    # The store writes the claim, but its acknowledgement is lost; then also
+    # the acknowledgements of further writes.
     def test_lost_acknowledgements_make_no_second_run(self):
         for lost in (1, 2, 3):
             key = "ack-%d" % lost
@@ -102,15 +102,15 @@
             second = wait_until(
                 lambda: (lambda a: a if a.status == 200 else None)(
                     self.issue(key, vm="quebec-1")),
-                "the resend is answered")
+                "the retry is answered")
             self.assertEqual(second.status, 200)
             self.assertEqual(self.d.count_key(key), 1)
             if first.status != 200:
                 self.assertEqual(first.status, 503)
 
-    # The backend server runs the certificate and dies before its answer.
-    # It must not run again, whoever sends it, and nobody may say "not run".
-    def test_a_lost_answer_is_unknown_for_good(self):
+    # The connection is reset while the backend server runs the request. It
+    # must not run again on any retry, and no answer may be "not-run".
+    def test_a_lost_answer_stays_unknown(self):
         first = self.issue("lost-1", query="?fault=reset-mid")
         self.assertEqual((first.status, first.outcome), (502, "unknown"))
         again = self.issue("lost-1", vm="quebec-2",
@@ -118,9 +118,9 @@
         self.assertEqual(again.outcome, "unknown")
         self.assertEqual(self.d.count_key("lost-1"), 1)
 
-    # A backend server sheds it: it did not run, so the claim goes and a
-    # resend may run.
-    def test_a_shed_certificate_may_run_later(self):
+    # A request shed by the backend servers did not run: its claim is released,
+    # and a retry may run.
+    def test_a_shed_request_may_run_on_a_retry(self):
         self.d.control_backends("*", slots=1, queue=0)
         threads = [threading.Thread(target=lambda vm=vm: self.d.request(
             vm, "/s/dossiers/hang?fault=hang", Sas_Deadline_Ms=1500))
@@ -146,9 +146,9 @@
     def loads(self):
         return self.d.loads()
 
-    # The caller's connection goes while its certificate runs. It runs to
-    # its end, and the resend gets the answer.
-    def test_a_caller_that_goes_finds_its_answer_later(self):
+    # The caller disconnects while its request runs. The run completes, and the
+    # retry gets the answer.
+    def test_a_disconnected_caller_gets_its_answer_on_a_retry(self):
         with self.assertRaises(OSError):
             self.d.request("montreal-1", "/s/dossiers/certificates/9?ms=600",
                            "POST", b"x", timeout=0.2,
@@ -159,12 +159,12 @@
                                "/s/dossiers/certificates/9?ms=600", "POST",
                                b"x", Idempotency_Key="gone-1",
                                Sas_Caller="inspector")),
-            "the answer is kept")
+            "the answer is replayed")
         self.assertEqual(again.replayed, "1")
         self.assertEqual(self.d.count_key("gone-1"), 1)
 
-    # The entry VM that holds the claim is killed, or frozen, while the
-    # certificate runs. The resend at another one must not run it again.
+    # The entry VM that holds the claim is frozen or killed while the request
+    # runs. A retry at another entry VM must not run it again.
     def test_a_dead_or_frozen_holder_keeps_its_claim(self):
         with Deployment(vms=1, services=SERVICES) as d:
             for key, number in (("frozen-1", signal.SIGSTOP),
@@ -191,7 +191,7 @@
                 if number == signal.SIGSTOP:
                     d.resume("montreal-1")
                     wait_until(lambda: send("quebec-1").status == 200,
-                               "the holder keeps the outcome")
+                               "the holder stores the outcome")
                 thread.join()
                 self.assertEqual(d.count_key(key), 1)
 
--- a/tests/e2e/test_configuration.py
+++ b/tests/e2e/test_configuration.py
@@ -1,5 +1,5 @@
-"""Once accepted, a configuration is in force everywhere within seconds and
-never reverts."""
+"""An accepted configuration is in force everywhere within seconds and never
+reverts."""
 
 import threading
 import unittest
@@ -11,10 +11,10 @@
 
 class ConfigurationTest(unittest.TestCase):
 
-    # Two operators change the same intention at the same moment through
-    # different entry VMs, each believing it was first. One wins; the other
-    # is told who did, and the loser's sheet is nowhere in force.
-    def test_the_loser_of_a_race_is_told_who_won(self):
+    # Two operators put a sheet at the same time through different entry VMs,
+    # both based on version 0. One is refused and gets the winner's operation
+    # and operator, and its sheet is nowhere in force.
+    def test_a_conflict_names_the_winner(self):
         with Deployment(vms=2) as d:
             answers = {}
 
@@ -33,17 +33,16 @@
             won = [vm for vm, a in answers.items() if a.status == 200]
             lost = [vm for vm, a in answers.items() if a.status == 409]
             self.assertEqual((len(won), len(lost)), (1, 1), answers)
-            told = answers[lost[0]].json()
-            self.assertEqual(told["operation"], "op-" + won[0])
-            self.assertEqual(told["operator"], "user-" + won[0])
+            conflict = answers[lost[0]].json()
+            self.assertEqual(conflict["operation"], "op-" + won[0])
+            self.assertEqual(conflict["operator"], "user-" + won[0])
             d.wait_version(1)
             sheets = {d.admin(vm, "GET", "/v1/sheet").body for vm in d.vms}
             self.assertEqual(len(sheets), 1)
 
-    # The store takes the change and its acknowledgement is lost. The
-    # operator must be told the truth, and asking again must not make a
-    # second version.
-    def test_a_lost_acknowledgement_is_settled_by_reading_back(self):
+    # The store writes the change and its acknowledgement is lost. The operator
+    # must get the version, and a retry must not create a second one.
+    def test_a_lost_acknowledgement_is_resolved_by_reading_back(self):
         with Deployment(vms=1) as d:
             for lost in (1, 2):
                 d.control_platform(lose_acks=lost)
@@ -55,13 +54,13 @@
                 again = d.put_sheet("quebec-1", [SHIFT % lost],
                                     Sas_Operation=operation)
                 self.assertEqual(again.json()["version"], lost)
-                known = d.admin("quebec-1", "GET",
-                                "/v1/operations/" + operation).json()
-                self.assertEqual(known["state"], "in-force")
+                operation_state = d.admin("quebec-1", "GET",
+                                          "/v1/operations/" + operation).json()
+                self.assertEqual(operation_state["state"], "in-force")
             d.wait_version(2)
 
-    # An operation id that is used again for another sheet must not be
-    # answered as done: the second sheet would silently not be in force.
+    # Guards against reporting success for a second sheet under a used
+    # operation id, while that sheet is not in force.
     def test_an_operation_id_names_one_sheet(self):
         with Deployment(vms=1, regions=("montreal", "quebec")) as d:
             d.put_sheet("montreal-1", [SHIFT % 5], Sas_Operation="op")
@@ -69,8 +68,8 @@
                                 Sas_Operation="op")
             self.assertEqual(other.status, 422)
 
-    # The store answers reads with the row before the last write, as a
-    # lagging replica would. No node may go back to the older version.
+    # The store answers reads with the row before the last write, as a lagging
+    # replica would. No node may revert to the older version.
     def test_stale_reads_revert_nothing(self):
         with Deployment(vms=1) as d:
             d.put_sheet("montreal-1", [SHIFT % 10])
@@ -83,9 +82,9 @@
             for vm in d.vms:
                 self.assertEqual(d.status(vm)["version"], 2)
 
-    # A node is replaced while the store is down. It must not serve by an
-    # older or an empty sheet: it asks its peers. With the store down and
-    # nobody to ask it is not ready, rather than wrong.
+    # A node that is replaced while the store is down gets the sheet from its
+    # peers, so that it serves by neither an older nor an empty one. Without
+    # store and peers it is not ready.
     def test_a_node_that_starts_without_the_store_asks_its_peers(self):
         with Deployment(vms=1) as d:
             d.put_sheet("montreal-1", [SHIFT % 30])
@@ -106,9 +105,8 @@
             d.wait_ready("quebec-1")
             self.assertEqual(d.status("quebec-1")["version"], 1)
 
-    # A change is put while one node is frozen. When it wakes it must come
-    # to the version in force by itself.
-    def test_a_node_that_was_away_catches_up(self):
+    # A node that was frozen during a change reaches the new version.
+    def test_a_frozen_node_catches_up(self):
         with Deployment(vms=2) as d:
             d.pause("quebec-2")
             put = d.put_sheet("montreal-1", [SHIFT % 30])
@@ -117,8 +115,7 @@
             d.resume("quebec-2")
             d.wait_version(1)
 
-    # With the store down an operator learns that nothing was changed, and
-    # the sheet in force stays in force.
+    # With the store down a put fails, and the sheet in force stays.
     def test_a_put_without_the_store_changes_nothing(self):
         with Deployment(vms=1) as d:
             d.put_sheet("montreal-1", [SHIFT % 30])
@@ -130,9 +127,9 @@
             self.assertEqual([row["version"]
                               for row in history["versions"]], [1])
 
-    # A sheet with one bad row among good ones: nothing of it takes hold,
-    # and the planner is told the place.
-    def test_a_bad_sheet_is_refused_whole(self):
+    # A sheet with one bad row is refused entirely, with the row and column of
+    # the error.
+    def test_a_bad_sheet_is_refused_entirely(self):
         with Deployment(vms=1) as d:
             put = d.put_sheet("montreal-1", [
                 SHIFT % 10, "+5,dossiers,montreal,quebec,20%,5 bananas,,"])
@@ -146,8 +143,8 @@
             self.assertEqual(dry.status, 200)
             self.assertEqual(d.status("montreal-1")["version"], 0)
 
-    # Operators without the token get nowhere, and it is counted.
-    def test_the_admin_port_asks_for_its_token(self):
+    # Calls without the token are refused and counted.
+    def test_the_admin_port_requires_its_token(self):
         with Deployment(vms=1, regions=("montreal",)) as d:
             for token in ("", "wrong", "e2e-operators-tokem"):
                 refused = d.admin("montreal-1", "GET", "/v1/status",
--- a/tests/e2e/test_crashing_requests.py
+++ b/tests/e2e/test_crashing_requests.py
@@ -1,4 +1,4 @@
-"""A request that crashes each backend server that runs it."""
+"""Poison requests: requests that crash each backend server that runs them."""
 
 import threading
 import unittest
@@ -12,7 +12,7 @@
 class CrashingRequestsTest(unittest.TestCase):
 
     def crashes(self, d):
-        """Backend servers that crashed, by their incarnations."""
+        """Number of crashes, from the backend servers' incarnations."""
         return sum(int(load["incarnation"].rsplit("-", 1)[1]) - 1
                    for load in d.loads())
 
@@ -20,21 +20,20 @@
         return d.request(vm, POISON, method,
                          b"poison" if method == "POST" else None)
 
-    # One report crashes whatever runs it. Its caller sends it again and
-    # again, through any entry VM, among the innocent requests of others
-    # that run in the same backend servers and die with them. It is stopped
-    # after a few crashes on all entry VMs, also on one that was replaced
-    # meanwhile, and nobody else's request is taken for it.
+    # A caller retries a poison request through all entry VMs, while other
+    # requests run on the same backend servers and fail with them. At most 3
+    # crashes later all entry VMs refuse the poison request, including one that
+    # was replaced, and no other request is quarantined.
     def check(self, method):
         with Deployment(vms=2, services=SERVICES,
                         limits={"retry_share": 0.5}) as d:
-            over = threading.Event()
+            stop = threading.Event()
             answers = []
 
             def innocent(number):
                 vm = list(d.vms)[number % 3]  # not the replaced one
                 count = 0
-                while not over.is_set():
+                while not stop.is_set():
                     count += 1
                     answers.append(d.request(
                         vm, "/s/dossiers/innocent/%d-%d?ms=10" %
@@ -57,7 +56,7 @@
                     wait_until(lambda: self.send(d, vm, method).reason ==
                                "quarantined", vm + " refuses it")
             finally:
-                over.set()
+                stop.set()
                 for thread in threads:
                     thread.join()
             wait_until(lambda: all(load["incarnation"]
@@ -66,18 +65,18 @@
             self.assertLessEqual(self.crashes(d), 3)
             self.assertEqual([answer.reason for answer in answers
                               if answer.reason == "quarantined"], [])
-            good = [a for a in answers if a.status == 200]
-            self.assertGreater(len(good), 0.9 * len(answers))
+            succeeded = [a for a in answers if a.status == 200]
+            self.assertGreater(len(succeeded), 0.9 * len(answers))
 
-    def test_one_that_may_repeat(self):
+    def test_idempotent_request(self):
         self.check("GET")
 
-    def test_one_that_may_not_repeat(self):
+    def test_non_idempotent_request(self):
         self.check("POST")
 
-    # A connection breaks for a reason of the network, in mid-run, twice.
-    # The backend server lives on, as its incarnation shows, and the request
-    # must not be quarantined.
+    # Connections are reset during runs of a request, but the backend server's
+    # incarnation shows that it did not crash. The request must not be
+    # quarantined.
     def test_a_reset_is_no_crash(self):
         with Deployment(vms=1, services=SERVICES) as d:
             target = "/s/dossiers/reset?fault=reset-mid"
@@ -87,7 +86,7 @@
                 wait_until(lambda: d.counter(
                     "montreal-1", "sas_suspicions_voided_total") ==
                     d.counter("montreal-1", "sas_suspected_total"),
-                    "the suspicion is voided")
+                    "the suspicion is dismissed")
 
 
 if __name__ == "__main__":
--- a/tests/e2e/test_ctl.py
+++ b/tests/e2e/test_ctl.py
@@ -1,4 +1,4 @@
-"""The real sassafrassillctl against real nodes."""
+"""sassafrassillctl against running nodes."""
 
 import csv
 import json
@@ -60,7 +60,7 @@
         self.assertEqual(shown.status, REFUSED)
         self.assertIn("no sheet is in force", shown.err)
 
-    # A planner's morning: put, wait, look at it from another VM.
+    # Puts a sheet, waits for it, and reads it from every entry VM.
     def test_put_show_history_status(self):
         rows = SHIFT % 10
         sheet = self.write(rows)
@@ -88,7 +88,8 @@
         self.assertEqual(again.status, DONE)
         self.assertEqual(self.d.status("montreal-1")["version"], 1)
 
-    # Two planners start from the same version; the second is told who won.
+    # Two operators put a sheet based on the same version; the second gets the
+    # winner's operation and operator.
     def test_a_conflict_names_the_winner(self):
         self.put(SHIFT % 10, words=["--operator", "amel", "--operation",
                                     "first"])
@@ -99,7 +100,7 @@
         self.assertEqual(self.ctl("operation", "first").status, DONE)
         self.assertEqual(self.ctl("operation", "second").status, UNKNOWN)
 
-    def test_drain_names_a_server_or_says_that_there_is_none(self):
+    def test_drain_accepts_only_existing_names(self):
         self.put(SHIFT % 10)
         drain = self.ctl("drain", "dossiers-montreal-01", "--wait", "30")
         self.assertEqual(drain.status, DONE, drain.err)
@@ -112,12 +113,12 @@
         self.assertEqual(answers, {"dossiers-montreal-02"})
         vm = self.ctl("drain", "montreal-2")
         self.assertEqual(vm.status, DONE, vm.err)
-        nobody = self.ctl("drain", "dossiers-99")
-        self.assertEqual(nobody.status, REFUSED)
-        self.assertIn("no backend server or entry VM", nobody.err)
+        unknown = self.ctl("drain", "dossiers-99")
+        self.assertEqual(unknown.status, REFUSED)
+        self.assertIn("no backend server or entry VM", unknown.err)
 
-    # One entry VM is frozen. The version is accepted, and the operator who
-    # waits for it learns which VM does not have it.
+    # One entry VM is frozen: the version is accepted, and --wait reports which
+    # entry VM does not have it.
     def test_wait_names_a_frozen_node(self):
         self.d.pause("quebec-2")
         try:
@@ -135,9 +136,9 @@
             self.d.resume("quebec-2")
         self.assertEqual(self.ctl("wait", "1").status, DONE)
 
-    # The first node that is named is dead; the second one answers. With
-    # none left ctl says that nothing was changed.
-    def test_a_dead_node_is_passed_over(self):
+    # Of two nodes the first is dead and the second answers. When all are dead
+    # ctl reports that nothing was changed.
+    def test_a_dead_node_is_skipped(self):
         self.d.nodes["montreal-1"].stop()
         self.put(SHIFT % 10)
         none = self.ctl("sheet", "put", self.write(SHIFT % 20),
@@ -145,15 +146,15 @@
         self.assertEqual(none.status, UNREACHABLE)
         self.assertEqual(self.d.status("quebec-1")["version"], 1)
 
-    # The store takes the put and its answer is lost: ctl reports it done,
-    # and the operation can be asked for.
-    def test_a_lost_acknowledgement_is_settled(self):
+    # The store writes the sheet and its acknowledgement is lost: ctl reports
+    # success, and the operation's state can be read.
+    def test_a_lost_acknowledgement_is_resolved(self):
         self.d.control_platform(lose_acks=1)
         put = self.put(SHIFT % 10, words=["--operation", "lost-1"])
         self.assertIn("accepted: version 1, operation lost-1", put.out)
-        known = self.ctl("operation", "lost-1", "--json")
-        self.assertEqual(known.json(), {"operation": "lost-1",
-                                        "state": "in-force", "version": 1})
+        operation = self.ctl("operation", "lost-1", "--json")
+        self.assertEqual(operation.json(), {"operation": "lost-1",
+                                            "state": "in-force", "version": 1})
 
     def test_without_the_store_nothing_is_changed(self):
         self.put(SHIFT % 10)
@@ -182,8 +183,8 @@
         self.assertEqual(
             self.d.counter("montreal-1", "sas_admin_unauthorized_total"), 1)
 
-    # Counters and status as JSON are the node's own.
-    def test_json_is_what_the_node_says(self):
+    # --json prints the status and counters of the node.
+    def test_json_matches_the_node(self):
         status = self.ctl("status", "--json").json()
         self.assertEqual(status["vm"], "montreal-1")
         counters = self.ctl("counters", "--json").json()
--- a/tests/e2e/test_entry_platform.py
+++ b/tests/e2e/test_entry_platform.py
@@ -1,5 +1,5 @@
 #!/usr/bin/python3
-"""Entry VMs and the platform's store: what is learned, lost and healed."""
+"""Entry VMs in platform mode: rows of the store, outages and recovery."""
 
 import os
 import subprocess
@@ -10,21 +10,21 @@
 
 
 class EntryPlatform(unittest.TestCase):
-    def test_entry_vms_find_each_other_and_name_the_nearest(self):
+    def test_lookups_name_the_nearest_entry_vms(self):
         with Fleet(vms=("a", "a", "c")) as fleet:
             fleet.start()
             a0, a1, c0 = fleet.vms
             names = {"%s:%d" % vm.address(): vm for vm in fleet.vms}
 
-            def find(vm, zone):
+            def lookup(vm, zone):
                 return {names[x] for x in vm.lookup(zone)}
             for vm in fleet.vms:
-                wait_for(lambda: find(vm, "a") == {a0, a1}, "both of a")
-                wait_for(lambda: find(vm, "c") == {c0}, "the one of c")
-                # No entry VM stands in b: those of its region are named.
-                self.assertEqual(find(vm, "b"), {a0, a1})
+                wait_for(lambda: lookup(vm, "a") == {a0, a1}, "both of a")
+                wait_for(lambda: lookup(vm, "c") == {c0}, "the one of c")
+                # Zone b has no entry VM: its region's are named.
+                self.assertEqual(lookup(vm, "b"), {a0, a1})
 
-    def test_a_killed_entry_vm_is_named_no_more(self):
+    def test_a_killed_entry_vm_leaves_the_lookups(self):
         with Fleet(vms=("a", "a", "c")) as fleet:
             fleet.start()
             a0, a1, c0 = fleet.vms
@@ -34,7 +34,7 @@
             wait_for(lambda: address not in c0.lookup("a"), "a1 to be dropped")
             self.assertEqual(c0.lookup("a"), ["%s:%d" % a0.address()])
 
-    def test_a_draining_server_gets_nothing_new_and_ends_its_work(self):
+    def test_a_draining_server_completes_its_requests(self):
         with Fleet(vms=("a",)) as fleet:
             worker = fleet.add_worker("d1")
             other = fleet.add_worker("d2", zone="c")
@@ -48,7 +48,7 @@
             wait_for(lambda: len(worker.ran) == 1, "a request in progress")
             fleet.add_worker("d1", state="draining", **{"seq-no": 2})
             wait_for(lambda: vm.find_lines("server.state", peer="d1"),
-                     "the news that it drains")
+                     "the update that it drains")
             for i in range(5):
                 self.assertEqual(vm.request(key=str(i)).status, 200)
             self.assertEqual(len(other.ran), 5)
@@ -57,9 +57,9 @@
             self.assertEqual(answers[0].status, 200)
             self.assertEqual(len(worker.ran), 1)
 
-    # Guards against requests that are dropped when the row of their server
-    # goes while they run, also those that may not repeat.
-    def test_a_removed_server_ends_its_work(self):
+    # Guards against failing requests, idempotent or not, when the row of their
+    # server is removed while they run.
+    def test_a_removed_server_completes_its_requests(self):
         with Fleet(vms=("a",)) as fleet:
             worker = fleet.add_worker("d1")
             fleet.start()
@@ -82,7 +82,7 @@
                 request.join()
             self.assertEqual(statuses, [200, 200])
 
-    def test_an_evacuated_zone_gets_nothing_until_it_is_taken_back(self):
+    def test_an_evacuated_zone_gets_no_requests(self):
         with Fleet(vms=("a",)) as fleet:
             worker = fleet.add_worker("d1", zone="a")
             other = fleet.add_worker("d2", zone="b")
@@ -93,15 +93,16 @@
                 self.assertEqual(vm.request(key=str(i)).status, 200)
             self.assertEqual((len(worker.ran), len(other.ran)), (0, 8))
             fleet.store.remove("op", "evacuate/a")
-            wait_for(lambda: vm.find_lines("zone.evacuate"), "the end")
+            wait_for(lambda: vm.find_lines("zone.evacuate"),
+                     "the end of the evacuation")
 
             def served():
                 for i in range(8):
                     vm.request(key=str(i))
                 return len(worker.ran) > 0
-            wait_for(served, "work for the zone")
+            wait_for(served, "requests in the zone")
 
-    def test_a_configuration_never_goes_back(self):
+    def test_a_configuration_never_reverts(self):
         with Fleet(vms=("a",)) as fleet:
             fleet.add_worker("d1")
             fleet.start()
@@ -121,10 +122,10 @@
             self.assertEqual(versions, sorted(versions))
             self.assertNotIn(40, versions)
 
-    def test_rows_that_cannot_be_read_name_no_server(self):
-        """Another writer's rows stand between ours: fields missing or of
-        another type, a state that does not exist, bytes that are no JSON.
-        Each is named once in the log and the others hold."""
+    def test_invalid_rows_are_logged_and_ignored(self):
+        """Rows of another writer with fields missing or of a wrong type, an
+        unknown state, or bytes that are not JSON: each is logged once, and
+        the valid rows apply."""
         with Fleet(vms=("a",)) as fleet:
             good = fleet.add_worker("d1")
             fleet.store.put("servers", "x1", b"\xff\x00 not json")
@@ -152,15 +153,15 @@
             fleet.start()
             vm = fleet.vms[0]
             fleet.configure([fleet.route("forms", "/forms/", "strange")])
-            wait_for(lambda: vm.find_lines("store.decode"), "a complaint")
+            wait_for(lambda: vm.find_lines("store.decode"), "an error log")
             fleet.store.put("op", "config", b'{"version": 999, "routes"')
             wait_for(lambda: len(vm.find_lines("store.decode")) == 2,
-                     "both complaints")
+                     "both error logs")
             self.assertEqual(vm.request().status, 200)
 
-    def test_one_that_the_store_refuses_hears_of_changes_from_others(self):
-        """A crew's look-ups fail at one machine: the store turns it away, so
-        it never learns that the servers have been replaced."""
+    def test_an_entry_vm_refused_by_the_store_gets_rows_from_peers(self):
+        """Guards against requests to replaced servers by an entry VM that the
+        store refuses, so that it cannot read the change itself."""
         with Fleet(vms=("a", "c")) as fleet:
             fleet.add_worker("d1")
             fleet.start()
@@ -173,13 +174,13 @@
             fleet.add_worker("d2")
             fleet.store.remove("servers", "d1")
             wait_for(lambda: refused.find_lines("server.gone", peer="d1"),
-                     "the news by way of the other one")
+                     "the update from the other one")
             self.assertEqual(refused.request().body, b"d2 /forms/1 0")
 
-    def test_rows_that_lapse_in_an_outage_are_kept_for_two_seconds(self):
-        """All callers would be refused after a short outage of the store: the
-        servers could not renew their rows, these lapsed, and come back within
-        two seconds."""
+    def test_rows_that_expire_in_an_outage_are_kept_for_two_seconds(self):
+        """Guards against refusing all requests after a short outage of the
+        store: servers could not renew their rows, which expired and return
+        within two seconds."""
         with Fleet(vms=("a",)) as fleet:
             fleet.add_worker("d1")
             fleet.add_worker("d2")
@@ -197,14 +198,13 @@
             self.assertEqual(vm.request().status, 200)
             fleet.add_worker("d1", **{"seq-no": 9})
             wait_for(lambda: vm.find_lines("server.gone", peer="d2"),
-                     "the one that stays away to be dropped")
+                     "the absent server to be dropped")
             self.assertEqual(vm.find_lines("server.gone", peer="d1"), [])
 
-    def test_a_change_after_an_outage_is_heard_soon(self):
-        """Callers get 404 on a new route at some machines for seconds: the
-        store was silent and is back, but these machines still wait for the
-        answer to a long question that they sent into the outage. While it is
-        away they ask short ones, which end soon."""
+    def test_a_change_after_an_outage_arrives_soon(self):
+        """Guards against 404 on a new route for seconds after an outage: an
+        entry VM still waits for a long poll that it sent during the outage.
+        While the store is unresponsive it sends short polls."""
         with Fleet(vms=("a",)) as fleet:
             fleet.add_worker("d1")
             fleet.start()
@@ -212,44 +212,43 @@
             fleet.store.mode = "silent"
             wait_for(lambda: vm.find_lines("store.lost", peer="op"),
                      "the outage to be noticed")
-            asked = len(fleet.store.waits)
-            wait_for(lambda: len(fleet.store.waits) >= asked + 3,
-                     "more questions")
-            self.assertEqual(set(fleet.store.waits[asked + 1:]), {0})
+            polls = len(fleet.store.waits)
+            wait_for(lambda: len(fleet.store.waits) >= polls + 3,
+                     "more polls")
+            self.assertEqual(set(fleet.store.waits[polls + 1:]), {0})
             fleet.store.mode = ""
             fleet.configure(version=50)
             wait_for(lambda: any("version=50" in line["text"] for line in
                                  vm.find_lines("config.apply")),
                      "the change")
 
-    def test_one_that_starts_in_an_outage_asks_short_questions(self):
-        """A machine that was restarted while the store was silent serves an
-        old route for seconds after all others know the new one: it took its
-        rows from its leader, left it since that one was cut off too, and sent
-        a long question into the outage."""
+    def test_an_entry_vm_started_in_an_outage_uses_short_polls(self):
+        """Guards against serving an old route for seconds after an outage: an
+        entry VM restarted during it got its rows from its leader, left the
+        leader, which had no store either, and sent the store a long poll."""
         with Fleet(vms=("a", "a")) as fleet:
             fleet.add_worker("d1")
             fleet.start()
             follower = wait_for(lambda: next(
                 (vm for vm in fleet.vms if vm.find_lines(
                     "store.listed", peer="op", **{"from": "entry VM"})),
-                None), "one to follow the other")
+                None), "a follower")
             fleet.store.mode = "silent"
             for vm in fleet.vms:
                 wait_for(lambda: vm.find_lines("store.lost", peer="op"),
                          "the outage to be noticed at " + vm.name)
-            asked = len(fleet.store.waits)
+            polls = len(fleet.store.waits)
             follower.stop()
             follower.start()
             wait_for(follower.is_ready, "rows from the leader")
             wait_for(lambda: follower.find_lines(
                 "store.unfollow", peer="op", status="busy"),
                 "the leader to be left")
-            wait_for(lambda: len(fleet.store.waits) >= asked + 8,
-                     "more questions")
-            self.assertEqual(set(fleet.store.waits[asked:]), {0})
+            wait_for(lambda: len(fleet.store.waits) >= polls + 8,
+                     "more polls")
+            self.assertEqual(set(fleet.store.waits[polls:]), {0})
 
-    def test_a_store_that_forgets_its_history_is_listed_again(self):
+    def test_a_compacted_store_is_listed_again(self):
         with Fleet(vms=("a",)) as fleet:
             fleet.add_worker("d1")
             fleet.start()
@@ -263,7 +262,7 @@
             wait_for(lambda: vm.find_lines("server.state", peer="d3"),
                      "a later change")
 
-    def test_a_lost_acknowledgement_of_the_own_row_is_made_good(self):
+    def test_a_lost_acknowledgement_of_the_own_row_is_retried(self):
         with Fleet(vms=("a", "c")) as fleet:
             fleet.store.lose_acks = 2
             fleet.start()
@@ -280,38 +279,39 @@
             lines = fleet.vms[0].find_lines("store.listed", peer="servers")
             self.assertEqual(lines[0]["rows"], 701)
 
-    def check_one_of_three_asks(self, most, **bounds):
-        """most: calls in four seconds, more than one makes and fewer than
-        two."""
+    def check_one_of_three_polls(self, max_calls, **bounds):
+        """max_calls: calls in 4 s, at least those of one entry VM and fewer
+        than those of two."""
         with Fleet(vms=("a", "a", "a"), bounds=bounds) as fleet:
             fleet.add_worker("d1")
             fleet.start()
 
-            def rate():
+            def count_calls():
                 before = fleet.store.calls
                 time.sleep(4)
                 return fleet.store.calls - before
-            wait_for(lambda: rate() <= most, "two of three to follow")
+            wait_for(lambda: count_calls() <= max_calls,
+                     "two of three to follow")
             fleet.add_worker("d2")
             fleet.store.remove("servers", "d1")
             for vm in fleet.vms:
                 wait_for(lambda: vm.find_lines("server.gone", peer="d1"),
-                         "the news at " + vm.name)
+                         "the update at " + vm.name)
                 self.assertEqual(vm.request().status, 200)
 
-    def test_one_of_a_zone_asks_the_store_for_the_others(self):
-        """Calls to the store cost money: 70 machines that each watch it would
-        spend a fifth of the day's worth on them."""
-        # One watches two tables, a call each 2.5 s; three would make ten.
-        self.check_one_of_three_asks(6, **{"config-ms": 6000,
-                                           "drain-ms": 6000})
+    def test_one_entry_vm_of_a_zone_polls_the_store(self):
+        """Guards against the cost of store calls: 70 entry VMs that each poll
+        would use a fifth of the daily budget."""
+        # One polls two tables, each every 2.5 s; three would make 10 calls.
+        self.check_one_of_three_polls(6, **{"config-ms": 6000,
+                                            "drain-ms": 6000})
 
-    def test_one_of_a_zone_asks_where_changes_are_due_sooner(self):
-        """The same where each question waits for 0.85 s."""
+    def test_one_entry_vm_of_a_zone_polls_with_short_polls(self):
+        """The same with polls of 0.85 s."""
         # One makes 8 or 9 calls, two would make 17.
-        self.check_one_of_three_asks(11)
+        self.check_one_of_three_polls(11)
 
-    def test_the_others_take_over_when_the_one_that_asks_dies(self):
+    def test_followers_take_over_when_their_leader_dies(self):
         with Fleet(vms=("a", "a", "a")) as fleet:
             fleet.add_worker("d1")
             fleet.start()
@@ -322,11 +322,11 @@
             fleet.store.remove("servers", "d1")
             vm = fleet.vms[2]
             wait_for(lambda: vm.find_lines("server.gone", peer="d1"),
-                     "the news")
+                     "the update")
             self.assertEqual(vm.request().status, 200)
 
     def test_a_stop_answers_every_request_in_progress(self):
-        """An upload would be cut off by a planned restart."""
+        """Guards against interrupting uploads in a planned restart."""
         with Fleet(vms=("a", "a")) as fleet:
             worker = fleet.add_worker("d1", slots=16)
             fleet.start()
@@ -341,22 +341,22 @@
             vm.signal(signal.SIGTERM)
             wait_for(lambda: not vm.is_ready(), "not ready")
             wait_for(lambda: "%s:%d" % vm.address() not in other.lookup("a"),
-                     "out of the look-ups")
-            # A caller that holds an older look-up is still served.
+                     "to leave the lookups")
+            # A caller with an older lookup is still served.
             self.assertEqual(vm.request().status, 200)
             for thread in threads:
                 thread.join()
             self.assertEqual([a.status for a in answers], [200] * 8)
             self.assertEqual(vm.process.wait(30), 0)
 
-    def test_settings_that_are_wrong_name_the_place(self):
+    def test_invalid_settings_are_named(self):
         with Fleet(vms=("a",)) as fleet:
             vm = fleet.vms[0].start()
             vm.stop()
             with open(vm.settings_path) as file:
                 text = file.read()
 
-            def check(changed):
+            def check_settings(changed):
                 path = os.path.join(fleet.folder, "bad.toml")
                 with open(path, "w") as file:
                     file.write(changed)
@@ -365,19 +365,21 @@
                      "--check-settings", "--platform-settings", path],
                     capture_output=True, text=True, timeout=30)
                 return run.returncode, run.stdout + run.stderr
-            self.assertEqual(check(text)[0], 0)
-            code, said = check(text.replace("node-name", "nodename"))
+            self.assertEqual(check_settings(text)[0], 0)
+            code, output = check_settings(text.replace("node-name",
+                                                       "nodename"))
             self.assertEqual(code, 2)
-            self.assertIn("node-name", said)
-            code, said = check(text.replace("[platform]", "[platform"))
+            self.assertIn("node-name", output)
+            code, output = check_settings(text.replace("[platform]",
+                                                       "[platform"))
             self.assertEqual(code, 2)
-            self.assertIn("bad.toml:", said)
-            code, said = check(text.replace("budget-ratio=0.2",
-                                            "budget-ratio=x"))
+            self.assertIn("bad.toml:", output)
+            code, output = check_settings(text.replace("budget-ratio=0.2",
+                                                       "budget-ratio=x"))
             self.assertEqual(code, 2)
-            self.assertIn("budget-ratio", said)
+            self.assertIn("budget-ratio", output)
 
-    def test_ctl_shows_where_entry_vms_differ(self):
+    def test_ctl_compares_views_of_entry_vms(self):
         with Fleet(vms=("a", "c")) as fleet:
             fleet.add_worker("d1")
             fleet.start()
@@ -391,17 +393,17 @@
                     capture_output=True, text=True, timeout=30)
                 return run.returncode, run.stdout + run.stderr
             wait_for(lambda: ctl("views")[0] == 0, "the views to agree")
-            code, said = ctl("owners", "desk/7")
-            self.assertEqual(code, 0, said)
-            self.assertEqual(said.count("d1"), 2)
+            code, output = ctl("owners", "desk/7")
+            self.assertEqual(code, 0, output)
+            self.assertEqual(output.count("d1"), 2)
             self.assertEqual(ctl("owners", "desk")[0], 2)
             c.stop()
             wait_for(lambda: a.find_lines("mesh.state", peer=c.name),
                      "the death")
-            code, said = ctl("views", "--json")
+            code, output = ctl("views", "--json")
             self.assertEqual(code, 0)
-            self.assertIn('"vm":"vm-0"', said)
-            # Callers' port tells nothing of what is inside.
+            self.assertIn('"vm":"vm-0"', output)
+            # The callers' port does not serve internal state.
             self.assertEqual(exchange(a.address("lookup"), "GET",
                                       "/v1/view").status, 404)
 
@@ -419,7 +421,7 @@
                           metrics)
             self.assertIn(b'sas_store_calls_total{status="ok"}', metrics)
 
-    def test_a_settings_file_that_changes_is_read_without_a_signal(self):
+    def test_a_changed_settings_file_is_read_without_a_signal(self):
         with Fleet(vms=("a",)) as fleet:
             fleet.add_worker("d1")
             fleet.start()
@@ -433,13 +435,12 @@
                      "the new bound")
             with open(vm.settings_path, "w") as file:
                 file.write("broken")
-            wait_for(lambda: vm.find_lines("settings.load"), "a complaint")
+            wait_for(lambda: vm.find_lines("settings.load"), "an error log")
             self.assertEqual(vm.request().status, 200)
 
-
-    def test_an_entry_vm_takes_hundreds_of_servers_over_from_its_leader(self):
-        """Rows come in pages from the zone's leader; a server that is missing
-        in one would get none of this entry VM's requests."""
+    def test_followers_get_hundreds_of_servers_from_their_leader(self):
+        """Guards against a server missing from the pages of rows that the
+        leader sends: it would get no requests of the follower."""
         with Fleet(vms=("a", "a", "a")) as fleet:
             for i in range(430):
                 fleet.add_worker_row("x%03d" % i, 9000 + i)
@@ -464,11 +465,11 @@
             wait_for(lambda: all(count(vm) == 432 for vm in fleet.vms),
                      "all to follow")
 
-    def test_entry_vms_with_a_key_take_rows_only_from_those_that_have_it(
+    def test_entry_vms_with_a_key_ignore_others(
             self):
-        """The store turns an entry VM away, and it hears of a new server from
-        the others. One that hasn't their key hears nothing and is named in no
-        look-up: it could be anybody's."""
+        """An entry VM that the store refuses gets new rows from its peers. One
+        without their key, which anybody could run, gets none and is named in
+        no lookup."""
         with Fleet(vms=("a", "a", "c")) as fleet:
             for vm, key in zip(fleet.vms, ("of all entry VMs",
                                            "of all entry VMs",
@@ -476,24 +477,24 @@
                 vm.environment = {"SASSAFRASSILL_PEER_KEY": key}
             fleet.add_worker("d1")
             fleet.start()
-            first, second, stranger = fleet.vms
+            first, second, keyless = fleet.vms
             wait_for(lambda: len(first.lookup("a")) == 2 and
                      len(second.lookup("a")) == 2, "two that know each other")
-            self.assertNotIn("%s:%d" % stranger.address(),
+            self.assertNotIn("%s:%d" % keyless.address(),
                              first.lookup("c") + second.lookup("c"))
-            # Where it started first it greets the others only when it lists
-            # them again, seconds later; the store must still answer it then.
+            # If it started first, it greets the others only when it lists them
+            # again, seconds later; the store must still answer it then.
             wait_for(lambda: first.find_lines("mesh.refuse"),
-                     "the stranger's greeting to be refused")
-            fleet.store.refused = {second.store_port, stranger.store_port}
-            wait_for(lambda: len(stranger.find_lines("store.lost")) == 2,
-                     "the stranger to have no store")
+                     "the greeting without the key to be refused")
+            fleet.store.refused = {second.store_port, keyless.store_port}
+            wait_for(lambda: len(keyless.find_lines("store.lost")) == 2,
+                     "the one without the key to lose the store")
             fleet.add_worker("d2", service="vault")
             wait_for(lambda: second.request("POST", "/scans/1",
                                             b"x").status == 200,
-                     "the one with the key to hear of the server")
-            self.assertEqual(stranger.request("POST", "/scans/1",
-                                              b"x").status, 503)
+                     "the one with the key to learn of the server")
+            self.assertEqual(keyless.request("POST", "/scans/1",
+                                             b"x").status, 503)
 
 
 if __name__ == "__main__":
--- a/tests/e2e/test_entry_requests.py
+++ b/tests/e2e/test_entry_requests.py
@@ -1,5 +1,5 @@
 #!/usr/bin/python3
-"""An entry VM on the platform: routes, whole answers, what may be repeated."""
+"""Requests in platform mode: routes, complete answers and retries."""
 
 import os
 import threading
@@ -10,7 +10,7 @@
 
 
 def read_answers(connection, count):
-    """Whole answers of a connection, in the order in which they come."""
+    """Reads count answers; returns pairs of status and body."""
     reader = connection.makefile("rb")
     answers = []
     for _ in range(count):
@@ -28,7 +28,7 @@
 
 
 class EntryRequests(unittest.TestCase):
-    def test_requests_go_by_route_and_keep_the_servers_answer(self):
+    def test_requests_follow_routes_and_answers_pass_unchanged(self):
         with Fleet(vms=("a",)) as fleet:
             fleet.add_worker("d1")
             fleet.add_worker("v1", service="vault")
@@ -49,10 +49,9 @@
             done = vm.find_lines("request", outcome="answered", route="forms")
             self.assertEqual(done[0]["peer"], "d1")
 
-    def test_nothing_known_yet_is_503_and_not_ready(self):
-        """Callers would take a 404 for good: a machine that has only just
-        started knows no configuration yet and must not say that a route is
-        not there."""
+    def test_without_a_configuration_answers_are_503(self):
+        """Guards against a 404, which callers treat as final, by an entry VM
+        that has just started and has no configuration."""
         with Fleet(vms=("a",), configured=False) as fleet:
             vm = fleet.vms[0].start()
             wait_for(lambda: vm.find_lines("store.listed"), "a listing")
@@ -63,11 +62,10 @@
             fleet.configure()
             wait_for(vm.is_ready, "ready with a configuration")
 
-    def test_pipelined_requests_run_side_by_side_in_order(self):
-        """A crew's second look-up would wait behind its slow first one: the
-        requests of one connection run one after another. Here the first is
-        held until the others have begun, so it never ends unless they run
-        beside it; the answers still come in order."""
+    def test_pipelined_requests_run_concurrently(self):
+        """Guards against running pipelined requests one after another. The
+        first request is held until all three have begun; the answers still
+        come in order."""
         with Fleet(vms=("a",)) as fleet:
             worker = fleet.add_worker("d1", slots=8)
             fleet.start()
@@ -82,9 +80,9 @@
                                   for i in range(3)])
 
     def test_a_late_second_answer_reaches_no_other_caller(self):
-        """One inspector would read another's certificate: a faulty server
-        sends one more answer after a whole one, just where the next request
-        on that connection waits for its own."""
+        """Guards against delivering another caller's answer: a faulty server
+        sends a second answer after a complete one, when the next request on
+        that connection waits for its own."""
         with Fleet(vms=("a",)) as fleet:
             worker = fleet.add_worker("d1")
             fleet.start()
@@ -111,9 +109,9 @@
             self.assertEqual(answer.status, 502)
             self.assertNotIn(SEAL, answer.headers)
 
-    def test_a_filing_runs_once_and_a_lookup_is_sent_again(self):
-        """A court would see two petitions: the server ran the filing and its
-        answer was lost, and the system sends it to the next server."""
+    def test_only_safe_requests_are_retried(self):
+        """Guards against running an unsafe request twice: a server ran it, its
+        answer was lost, and another server gets it. A safe one is retried."""
         with Fleet(vms=("a",)) as fleet:
             workers = [fleet.add_worker("d1"), fleet.add_worker("d2")]
             fleet.start()
@@ -132,9 +130,9 @@
             self.assertEqual(sum(w.ids().count(answer.id) for w in workers),
                              2)
 
-    def test_a_refusal_that_says_not_run_is_true(self):
-        """All servers refuse: the caller may send the filing again, since no
-        server has begun it and the answer says so."""
+    def test_a_refused_request_did_not_run(self):
+        """All servers refuse an unsafe request: the answer is 503 with
+        Retry-After, and no server has run it."""
         with Fleet(vms=("a",)) as fleet:
             workers = [fleet.add_worker("d1"), fleet.add_worker("d2")]
             fleet.start()
@@ -145,11 +143,11 @@
             self.assertIn("Retry-After", answer.headers)
             self.assertEqual(workers[0].ids() + workers[1].ids(), [])
 
-    def test_filings_avoid_connections_that_servers_have_forgotten(self):
-        """A clerk's filing is lost: its server had dropped the idle connection
-        without a word, and the reset leaves open whether the filing ran. The
-        first one may be lost so; then filings come on new connections, and a
-        look-up is sent once more to the server that knows its object."""
+    def test_unsafe_requests_avoid_idle_connections_dropped_by_servers(self):
+        """Guards against losing unsafe requests on idle connections that the
+        server dropped without closing: after the reset their outcome is
+        unknown. After the first reset unsafe requests use new connections; a
+        safe request is retried at the server that has its object cached."""
         with Fleet(vms=("a",)) as fleet:
             worker = fleet.add_worker("d1")
             fleet.start()
@@ -164,23 +162,22 @@
                 self.assertEqual(answer.status, 200)
             self.assertEqual(vm.find_lines("server.tripped"), [])
 
-    # Guards against a filing that is sent on a connection which its server,
-    # going by plan, has just closed: it runs nowhere and its caller is told
-    # that it may have run.
-    def test_a_filing_avoids_a_connection_that_its_server_has_closed(self):
+    # Guards against sending an unsafe request on a connection that its server
+    # has just closed in an orderly way: it does not run, but the answer says
+    # that it may have.
+    def test_an_unsafe_request_avoids_a_closed_connection(self):
         with Fleet(vms=("a",)) as fleet:
             worker = fleet.add_worker("d1")
             fleet.start()
             vm = fleet.vms[0]
             with socket.create_connection(vm.address()) as caller:
                 caller.settimeout(30)
-                # Which of the two it sees first is up to the kernel.
+                # The kernel decides which of the two it sees first.
                 for n in range(12):
-                    self.file_as_the_server_closes(vm, worker, caller, n)
+                    self.send_as_the_server_closes(vm, worker, caller, n)
 
-    def file_as_the_server_closes(self, vm, worker, caller, n):
-        """Both the filing and the close come while the entry VM stands
-        still."""
+    def send_as_the_server_closes(self, vm, worker, caller, n):
+        """The request and the close arrive while the entry VM is paused."""
         caller.sendall(format_request("/forms/1", "l%d" % n))
         self.assertEqual(read_answers(caller, 1)[0][0], 200)
         vm.signal(signal.SIGSTOP)
@@ -193,11 +190,10 @@
         self.assertEqual(read_answers(caller, 1)[0][0], 200)
         self.assertEqual(worker.ids()[-1], "f%d" % n)
 
-    def test_a_request_that_crashes_servers_is_sent_no_more(self):
-        """One look-up crashes each server that begins it, and its caller
-        sends it again, to any entry VM. Two servers go down before it is
-        suspected; then it runs alone on a third, and after that nowhere, also
-        where it has not been sent before. All others are served."""
+    def test_a_poison_request_is_quarantined(self):
+        """A poison request, retried at all entry VMs, is suspected after two
+        crashes, runs isolated on a third server and is then quarantined on
+        all entry VMs. Other requests are served."""
         with Fleet(vms=("a", "a", "b")) as fleet:
             workers = [fleet.add_worker("d%d" % i) for i in range(6)]
             fleet.start()
@@ -211,18 +207,19 @@
             self.assertLessEqual(crashes, 4)
             wait_for(lambda: all(vm.find_lines("suspect", quarantined=True)
                                  for vm in (second, third)),
-                     "the other entry VMs to know")
+                     "the other entry VMs to learn of it")
             for vm in fleet.vms:
                 answer = vm.request("GET", "/forms/poison")
                 self.assertEqual(answer.status, 503)
                 self.assertIn("Retry-After", answer.headers)
             self.assertEqual(sum(w.crashes for w in workers), crashes)
-            # One that starts again is told, and need not find out by itself.
-            known = len(second.find_lines("suspect", quarantined=True))
+            # A restarted entry VM learns of it without further crashes.
+            reports = len(second.find_lines("suspect", quarantined=True))
             second.stop()
             second.start()
             wait_for(lambda: second.is_ready() and len(second.find_lines(
-                "suspect", quarantined=True)) > known, "it to know again")
+                "suspect", quarantined=True)) > reports,
+                "it to learn of it again")
             self.assertEqual(second.request("GET", "/forms/poison").status,
                              503)
             self.assertEqual(sum(w.crashes for w in workers), crashes)
@@ -230,9 +227,9 @@
                 vm.request("GET", "/forms/%d" % i).status == 200
                 for vm in fleet.vms for i in range(8)), "all others served")
 
-    def test_one_that_starts_again_hears_of_refusals_whoever_is_absent(self):
-        """Guards against a refused request that crashes servers again by way
-        of an entry VM that starts while any other one is frozen."""
+    def test_a_restarted_entry_vm_learns_quarantined_requests(self):
+        """Guards against further crashes by a quarantined request through an
+        entry VM that restarts while any other one is frozen."""
         with Fleet(vms=("a", "a", "b", "c")) as fleet:
             workers = [fleet.add_worker("d%d" % i) for i in range(8)]
             fleet.start()
@@ -248,24 +245,24 @@
             crashes = sum(w.crashes for w in workers)
             for absent, again in zip(fleet.vms,
                                      fleet.vms[1:] + fleet.vms[:1]):
-                known = len(is_refused(again))
+                reports = len(is_refused(again))
                 absent.signal(signal.SIGSTOP)
                 again.stop()
                 again.start()
-                wait_for(lambda: len(is_refused(again)) > known,
-                         "%s to know while %s is frozen" % (again.name,
-                                                            absent.name))
+                wait_for(lambda: len(is_refused(again)) > reports,
+                         "%s to learn of it while %s is frozen" % (
+                             again.name, absent.name))
                 wait_for(again.is_ready, again.name + " to be ready")
                 self.assertEqual(again.request(
                     "GET", "/forms/poison").status, 503)
                 absent.signal(signal.SIGCONT)
             self.assertEqual(sum(w.crashes for w in workers), crashes)
 
-    def test_what_may_not_repeat_avoids_a_server_that_fails_in_part(self):
-        """A clerk's filings are lost now and then: their server resets two of
-        five, answers the others in time, and its health check is good. No
-        entry VM meets two failures in a row. Look-ups still go there: they
-        are sent once more."""
+    def test_unsafe_requests_avoid_a_server_with_grey_failure(self):
+        """Guards against losing unsafe requests to a grey failure: a server
+        resets two of five requests, answers the others in time, and its
+        health check passes. No entry VM sees two failures in a row. Safe
+        requests still go there, as they can be retried."""
         with Fleet(vms=("a", "a", "b")) as fleet:
             grey = fleet.add_worker("d1", slots=30)
             fleet.add_worker("d2", slots=30)
@@ -277,11 +274,11 @@
                     method, "/%s/%d" % (prefix, i), key=str(i))
                     for i in range(12)]
 
-            def found_out():
+            def is_marked_grey():
                 call("GET", "forms")
                 return any(vm.find_lines("server.grey", peer="d1")
                            for vm in fleet.vms)
-            wait_for(found_out, "the server to be found out")
+            wait_for(is_marked_grey, "the grey failure to be detected")
             self.assertEqual([a.status for a in call("POST", "filings")],
                              [200] * 12)
             self.assertEqual([a.status for a in call("GET", "forms")],
@@ -290,12 +287,12 @@
             before = sum(r.method == "POST" for r in grey.ran)
             wait_for(lambda: call("POST", "filings") and sum(
                 r.method == "POST" for r in grey.ran) > before,
-                "it to be trusted again")
+                "unsafe requests to return")
 
-    def test_a_look_up_that_a_server_failed_is_asked_of_another(self):
-        """A server answers a crew's look-up with an error of its own: another
-        one may know better. A filing has run, and its error is the answer; so
-        is the look-up's where all servers fail it."""
+    def test_a_safe_request_is_retried_after_a_server_error(self):
+        """A safe request that a server answers with an error is retried at
+        another server. An unsafe request ran, so its error is the answer, as
+        is that of a safe request which all servers fail."""
         with Fleet(vms=("a",)) as fleet:
             workers = [fleet.add_worker("d1"), fleet.add_worker("d2")]
             fleet.start()
@@ -318,9 +315,9 @@
             self.assertEqual(answer.status, 500)
             self.assertIn(SEAL, answer.headers)
 
-    def test_lost_answers_make_no_suspects(self):
-        """A server loses answers and goes on taking connections: the look-ups
-        whose answers it lost are as innocent as any."""
+    def test_lost_answers_are_no_crashes(self):
+        """Guards against suspecting requests whose answers were lost by a
+        server that still accepts connections."""
         with Fleet(vms=("a",)) as fleet:
             workers = [fleet.add_worker("d1"), fleet.add_worker("d2")]
             fleet.start()
@@ -332,10 +329,10 @@
                 for worker in workers:
                     worker.faults = []
                 wait_for(lambda: vm.request("GET", "/forms/1").status == 200,
-                         "the look-up to be served")
+                         "the request to be served")
             self.assertEqual(vm.find_lines("suspect"), [])
 
-    def test_a_success_without_a_seal_is_none(self):
+    def test_a_success_without_a_seal_is_502(self):
         with Fleet(vms=("a",)) as fleet:
             worker = fleet.add_worker("d1")
             fleet.start()
@@ -343,9 +340,10 @@
             answer = fleet.vms[0].request("POST", "/filings/1", b"x")
             self.assertEqual(answer.status, 502)
 
-    def test_an_address_used_again_runs_nothing_of_the_old_service(self):
-        """A filing would run at the photo store: its server ended, and the
-        address went to another service while the entry still stands."""
+    def test_a_reused_address_runs_nothing_of_the_old_service(self):
+        """Guards against running a request at a wrong service: its server
+        ended, and a server of another service got the address while the old
+        row remains."""
         with Fleet(vms=("a",)) as fleet:
             other = fleet.add_worker("v1", service="vault")
             fleet.add_worker("d1", port=other.port)
@@ -358,7 +356,7 @@
                 self.assertIn(answer.id, good.ids())
             self.assertEqual(other.ids(), [])
 
-    def test_a_caller_that_leaves_takes_its_work_along(self):
+    def test_a_disconnected_caller_cancels_its_request(self):
         with Fleet(vms=("a",)) as fleet:
             worker = fleet.add_worker("d1")
             fleet.start()
@@ -368,9 +366,9 @@
             wait_for(lambda: worker.ids() == ["gone"], "the request to run")
             client.close()
             wait_for(lambda: worker.left == ["gone"],
-                     "the server to see that the caller left")
+                     "the server to see the disconnect")
 
-    def test_the_final_answer_comes_at_the_routes_time_limit(self):
+    def test_a_request_is_answered_at_the_route_timeout(self):
         with Fleet(vms=("a",)) as fleet:
             worker = fleet.add_worker("d1")
             routes = [fleet.route("forms", "/forms/", "safe",
@@ -382,8 +380,8 @@
             self.assertEqual(answer.status, 504)
 
     def test_an_early_answer_leaves_no_bytes_for_the_next_request(self):
-        """A server refuses a long upload before it has read it. What is left
-        of the body must not become the next caller's request."""
+        """A server refuses a long upload before reading all of it. The rest of
+        the body must not be taken for the next request."""
         with Fleet(vms=("a",)) as fleet:
             worker = fleet.add_worker("v1", service="vault")
             fleet.start()
@@ -395,7 +393,7 @@
                 answer = vm.request("POST", "/scans/%d" % i, b"yy")
                 self.assertEqual(answer.body, b"v1 /scans/%d 2" % i)
 
-    def test_bad_requests_get_an_answer_and_harm_nobody(self):
+    def test_bad_requests_get_an_error_answer(self):
         with Fleet(vms=("a",)) as fleet:
             fleet.add_worker("v1", service="vault")
             fleet.add_worker("d1")
@@ -413,7 +411,7 @@
                 self.assertEqual(read_answers(client, 1)[0][0], 413)
             self.assertEqual(vm.request().status, 200)
 
-    def test_both_parts_of_a_split_get_their_weight(self):
+    def test_both_services_of_a_split_get_their_weight(self):
         with Fleet(vms=("a",)) as fleet:
             fleet.add_worker("d1", slots=30)
             fleet.add_worker("v1", service="vault", slots=30)
@@ -428,7 +426,7 @@
             share = len(fleet.workers["v1"].ran) / 200
             self.assertAlmostEqual(share, 0.3, delta=0.08)
 
-    def test_many_callers_at_once_all_get_their_own_answer(self):
+    def test_concurrent_callers_get_their_own_answers(self):
         with Fleet(vms=("a", "b")) as fleet:
             for i in range(4):
                 fleet.add_worker("d%d" % i, zone="ab"[i % 2], slots=16)
--- a/tests/e2e/test_entry_sheet.py
+++ b/tests/e2e/test_entry_sheet.py
@@ -1,5 +1,5 @@
-"""The operators' sheet on the users' platform: entry VMs learn services and
-servers at run time, and the sheet lives in tables of its own in the store."""
+"""The operators' sheet in platform mode: entry VMs learn services and servers
+at run time, and the sheet is in its own tables of the store."""
 
 import http.client
 import os
@@ -14,7 +14,7 @@
                            time, wait_for)
 
 TOKEN = "a-token-of-operators"
-EMPTY_S = 2.8  # after SIGTERM: without connections the process ends
+EMPTY_S = 2.8  # after SIGTERM: a process without connections exits
 HEADER = "time,service,from,to,share,cap,drain,limits\n"
 EVERYTHING_WEST = HEADER + "+0,desk,east,west,100%,,,\n"
 
@@ -49,19 +49,19 @@
                              for vm in vms or self.vms),
                  "version %d in force everywhere" % version)
 
-    def where(self, vm, path="/forms/1", key="7"):
-        """The region where a look-up of the entry VM runs."""
+    def get_region(self, vm, path="/forms/1", key="7"):
+        """The region in which a safe request through the entry VM runs."""
         answer = vm.request("GET", path, key=key)
         assert answer.status == 200, answer.status
         return "west" if answer.body.startswith(b"w") else "east"
 
 
 class EntrySheet(unittest.TestCase):
-    def test_a_share_goes_where_the_sheet_says_at_all_entry_vms(self):
+    def test_all_entry_vms_apply_the_share_of_the_sheet(self):
         with SheetFleet() as fleet:
             fleet.start()
             first, second, third = fleet.vms
-            self.assertEqual(fleet.where(first), "east")
+            self.assertEqual(fleet.get_region(first), "east")
             answer = fleet.put(EVERYTHING_WEST, vm=2, Sas_Operation="morning")
             self.assertEqual(answer.status, 200, answer.body)
             self.assertEqual(answer.json(),
@@ -70,18 +70,18 @@
             for vm in (first, second):
                 for i in range(10):
                     self.assertEqual(
-                        fleet.where(vm, "/forms/%d" % i, str(i)), "west")
+                        fleet.get_region(vm, "/forms/%d" % i, str(i)), "west")
             self.assertEqual(admin(first, "GET", "/v1/sheet").body.decode(),
                              EVERYTHING_WEST)
             shift, = admin(second, "GET", "/v1/status").json()["shifts"]
             self.assertEqual(shift["in_force_percent"], 100)
             fleet.put(HEADER + "+0,desk,east,west,0%,,,\n")
             fleet.wait_in_force(2)
-            self.assertEqual(fleet.where(first), "east")
+            self.assertEqual(fleet.get_region(first), "east")
 
-    def test_a_sheet_outlives_all_entry_vms(self):
-        """Nothing is kept on an entry VM: all of them are replaced at once,
-        and the new ones find the sheet in the store."""
+    def test_a_sheet_survives_the_replacement_of_all_entry_vms(self):
+        """Entry VMs keep no state: all are restarted, and read the sheet from
+        the store."""
         with SheetFleet(("a", "b")) as fleet:
             fleet.start()
             fleet.put(EVERYTHING_WEST)
@@ -89,11 +89,11 @@
                 vm.stop()
             fleet.start()
             fleet.wait_in_force(1)
-            self.assertEqual(fleet.where(fleet.vms[0]), "west")
+            self.assertEqual(fleet.get_region(fleet.vms[0]), "west")
 
     def test_a_lost_acknowledgement_makes_one_version(self):
-        """A planner's sheet is written and the store's answer is lost; put a
-        second time it must not become a second version."""
+        """Guards against a second version when a put is retried after the
+        store's acknowledgement was lost."""
         with SheetFleet(("a",)) as fleet:
             fleet.start()
             fleet.store.lose_acks = 2
@@ -107,7 +107,7 @@
                          "/v1/history").json()["versions"]
             self.assertEqual([row["operation"] for row in rows], ["once"])
 
-    def test_the_second_of_two_operators_is_told(self):
+    def test_the_second_of_two_operators_gets_a_conflict(self):
         with SheetFleet(("a", "c")) as fleet:
             fleet.start()
             self.assertEqual(fleet.put(EVERYTHING_WEST, Sas_Operation="one",
@@ -117,7 +117,7 @@
             self.assertEqual(answer.status, 409)
             self.assertEqual(answer.json()["operation"], "one")
 
-    def test_a_drained_server_gets_nothing_new(self):
+    def test_a_drained_server_gets_no_new_requests(self):
         with SheetFleet(("a", "b")) as fleet:
             fleet.start()
             answer = admin(fleet.vms[0], "POST", "/v1/drain?target=e1")
@@ -131,19 +131,19 @@
                                    key=str(i)).status, 200)
             self.assertEqual(len(fleet.east[0].ran), ran)
 
-    def test_a_drained_entry_vm_leaves_the_look_ups(self):
+    def test_a_drained_entry_vm_leaves_the_lookups(self):
         with SheetFleet(("a", "a")) as fleet:
             fleet.start()
-            gone = "%s:%d" % fleet.vms[1].address()
-            wait_for(lambda: gone in fleet.vms[0].lookup("a"), "both named")
+            drained = "%s:%d" % fleet.vms[1].address()
+            wait_for(lambda: drained in fleet.vms[0].lookup("a"), "both named")
             admin(fleet.vms[0], "POST", "/v1/drain?target=vm-1")
-            wait_for(lambda: all(gone not in vm.lookup("a")
-                                 for vm in fleet.vms), "one is left out")
+            wait_for(lambda: all(drained not in vm.lookup("a")
+                                 for vm in fleet.vms), "one to be left out")
             self.assertEqual(fleet.vms[1].request().status, 200)
 
-    # Guards against a change that is dropped without an answer when the
-    # process ends while the store still takes it.
-    def test_a_change_that_comes_as_the_process_ends_is_answered(self):
+    # Guards against a change without an answer when the process ends while the
+    # store still handles it.
+    def test_a_change_as_the_process_ends_is_answered(self):
         with SheetFleet(vms=("a",)) as fleet:
             fleet.start()
             vm = fleet.vms[0]
@@ -155,7 +155,7 @@
             change.getresponse().read()
             vm.signal(signal.SIGTERM)
             wait_for(lambda: vm.find_lines("process.stopping"), "a stop")
-            # It is read when the stop is just about to end.
+            # The process reads the change when it is about to exit.
             vm.signal(signal.SIGSTOP)
             change.request("PUT", "/v1/sheet", EVERYTHING_WEST, fields)
             time.sleep(EMPTY_S)
@@ -163,7 +163,7 @@
             self.assertEqual(change.getresponse().status, 200)
             self.assertEqual(vm.process.wait(30), 0)
 
-    def test_bad_calls_change_nothing_and_say_why(self):
+    def test_bad_calls_change_nothing_and_give_a_reason(self):
         with SheetFleet(("a", "b")) as fleet:
             fleet.vms[1].environment = {}
             fleet.start()
@@ -200,7 +200,7 @@
             self.assertEqual(admin(fleet.vms[0], "GET",
                                    "/v1/sheet").body.decode(), text)
 
-    def test_the_operators_tool_works_here_too(self):
+    def test_ctl_works_in_platform_mode(self):
         with SheetFleet(("a", "c")) as fleet:
             fleet.start()
             sheet = os.path.join(fleet.folder, "sheet.csv")
--- a/tests/e2e/test_entry_slow_callers.py
+++ b/tests/e2e/test_entry_slow_callers.py
@@ -1,5 +1,5 @@
 #!/usr/bin/python3
-"""A planned stop of an entry VM, and callers that read slowly."""
+"""A graceful shutdown of an entry VM while callers read slowly."""
 
 import http.client
 import unittest
@@ -7,10 +7,10 @@
 from entry_harness import (Fleet, format_request, signal, socket, time,
                            wait_for)
 
-LARGE = 300 << 10
-WINDOW = 4096
-SEGMENT = 1400
-# A caller takes an answer of this size in about as long at 2.4 Mbit/s.
+LARGE_BYTES = 300 << 10
+WINDOW_BYTES = 4096
+SEGMENT_BYTES = 1400
+# About the time that an answer of this size takes at 2.4 Mbit/s.
 READS_AFTER_S = 1
 
 
@@ -21,20 +21,21 @@
 
 
 class EntrySlowCallers(unittest.TestCase):
-    # Guards against an answer that is reset on its way: the kernel has it, the
-    # caller hasn't, and a further request reaches a socket that was closed.
+    # Guards against a reset that destroys an answer in the kernel's buffers: a
+    # further request reaches the socket after the process has closed it.
     def test_a_request_behind_an_answer_that_is_read_slowly(self):
         with Fleet(vms=("a",)) as fleet:
-            fleet.add_worker("d1").pad = LARGE
+            fleet.add_worker("d1").pad = LARGE_BYTES
             fleet.start()
             vm = fleet.vms[0]
             with socket.socket() as caller:
                 caller.settimeout(10)
-                caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, WINDOW)
+                caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF,
+                                  WINDOW_BYTES)
                 caller.setsockopt(socket.IPPROTO_TCP, socket.TCP_MAXSEG,
-                                  SEGMENT)
+                                  SEGMENT_BYTES)
                 caller.connect(vm.address())
-                for number in range(10):  # the sender's buffer grows with use
+                for number in range(10):  # the send buffer grows with use
                     caller.sendall(format_request("/forms/1",
                                                   "warm-%d" % number))
                     self.assertEqual(read_answer(caller)[0], 200)
@@ -42,12 +43,12 @@
                 wait_for(lambda: vm.find_lines("process.stopping"), "a stop")
                 caller.sendall(format_request("/forms/1", "slow"))
                 wait_for(lambda: vm.find_lines("request", request="slow"),
-                         "an answer on its way")
+                         "the answer to be sent")
                 time.sleep(READS_AFTER_S)
                 caller.sendall(format_request("/forms/1", "behind"))
                 status, size = read_answer(caller)
                 self.assertEqual(status, 200)
-                self.assertGreater(size, LARGE)
+                self.assertGreater(size, LARGE_BYTES)
             self.assertEqual(vm.process.wait(30), 0)
 
 
--- a/tests/e2e/test_entry_stops.py
+++ b/tests/e2e/test_entry_stops.py
@@ -1,5 +1,5 @@
 #!/usr/bin/python3
-"""A planned stop of an entry VM on the platform: what callers get of it."""
+"""Graceful shutdown of an entry VM in platform mode, as callers see it."""
 
 import http.client
 import threading
@@ -8,21 +8,21 @@
 from entry_harness import (Fleet, format_request, signal, socket, time,
                            wait_for)
 
-LARGE = 12 << 20  # bytes, more than the sockets between two processes hold
-LATE_S = 3.1      # after SIGTERM: callers that keep an old look-up still come
-EMPTY_S = 2.8     # after SIGTERM: without connections the process ends
-QUIET_S = 4.0     # after SIGTERM: without requests the process ends
-END_S = 5.6       # past the moment at which what is left is cut off
+LARGE_BYTES = 12 << 20  # more than the socket buffers hold
+LATE_S = 3.1      # after SIGTERM: callers with an old lookup still connect
+EMPTY_S = 2.8     # after SIGTERM: a process without connections exits
+QUIET_S = 4.0     # after SIGTERM: a process without requests exits
+DEADLINE_S = 5.6       # after SIGTERM: past the shutdown deadline
 
 
-class Late(threading.Thread):
-    """A request that is sent some time after SIGTERM."""
+class TimedRequest(threading.Thread):
+    """A request on a thread of its own, with a deadline."""
 
     def __init__(self, vm, deadline_ms):
         super().__init__()
         self.vm = vm
         self.deadline_ms = deadline_ms
-        self.status = None  # None: neither an answer nor a refusal
+        self.status = None  # None: no answer
         self.retry_s = None
         self.start()
 
@@ -39,7 +39,7 @@
 class EntryStops(unittest.TestCase):
     def stop_with_an_upload(self, fleet):
         """Sends SIGTERM while an upload runs, which keeps the process from
-        ending early. When it was sent."""
+        exiting early. Returns the time of SIGTERM."""
         vm = fleet.vms[0]
         vault = fleet.workers["v1"]
         vault.held.clear()
@@ -52,9 +52,9 @@
         vm.signal(signal.SIGTERM)
         return time.monotonic()
 
-    # Guards against a request that is taken late in a stop, and cut off with
-    # neither an answer nor a refusal when the process ends.
-    def test_a_request_taken_late_is_answered_or_refused(self):
+    # Guards against a request that is accepted late in a stop and gets neither
+    # an answer nor a refusal when the process ends.
+    def test_a_late_request_is_answered_or_refused(self):
         with Fleet(vms=("a",)) as fleet:
             server = fleet.add_worker("d1")
             fleet.add_worker("v1", service="vault")
@@ -62,49 +62,49 @@
             began = self.stop_with_an_upload(fleet)
             server.held.clear()
             time.sleep(LATE_S)
-            late = Late(fleet.vms[0], deadline_ms=6000)
+            late = TimedRequest(fleet.vms[0], deadline_ms=6000)
             time.sleep(0.2)
             fleet.workers["v1"].held.set()
-            time.sleep(max(0, began + END_S - time.monotonic()))
+            time.sleep(max(0, began + DEADLINE_S - time.monotonic()))
             server.held.set()
             late.join()
             self.assertIn(late.status, (200, 503))
             if late.status == 503:
                 self.assertLess(late.retry_s, 0.01)
 
-    # Guards against a refusal of what still has time: a late request whose own
-    # limit ends before the process does.
-    def test_a_late_request_with_a_short_limit_is_served(self):
+    # Guards against refusing a late request whose deadline is before the end
+    # of the process.
+    def test_a_late_request_with_a_short_deadline_is_served(self):
         with Fleet(vms=("a",)) as fleet:
             fleet.add_worker("d1")
             fleet.add_worker("v1", service="vault")
             fleet.start()
             self.stop_with_an_upload(fleet)
             time.sleep(LATE_S)
-            late = Late(fleet.vms[0], deadline_ms=1000)
+            late = TimedRequest(fleet.vms[0], deadline_ms=1000)
             late.join()
             fleet.workers["v1"].held.set()
             self.assertEqual(late.status, 200)
 
-    # Guards against a connection that just closes at the end of a stop, where
-    # its caller could be told.
-    def test_what_runs_at_the_end_of_a_stop_gets_an_answer(self):
+    # Guards against closing a connection at the shutdown deadline without an
+    # answer to its pending request.
+    def test_a_request_at_the_shutdown_deadline_gets_an_answer(self):
         with Fleet(vms=("a",)) as fleet:
             server = fleet.add_worker("d1")
             fleet.start()
             vm = fleet.vms[0]
             server.held.clear()
-            long = Late(vm, deadline_ms=20000)
+            long = TimedRequest(vm, deadline_ms=20000)
             wait_for(lambda: server.ran, "a request in progress")
             vm.signal(signal.SIGTERM)
             long.join()
             self.assertEqual(long.status, 502)
             self.assertEqual(vm.process.wait(30), 0)
 
-    # Guards against a request that is taken, and sent to a server, while the
-    # process is already closing its parts; and against a reset for callers
-    # that wait at the port of a process that was paused.
-    def test_a_request_that_comes_as_the_process_ends_is_answered(self):
+    # Guards against a request that is accepted and sent to a server while the
+    # process is already closing its modules, and against resets of connections
+    # in the accept queue of a process that was paused.
+    def test_a_request_as_the_process_ends_is_answered(self):
         with Fleet(vms=("a",)) as fleet:
             server = fleet.add_worker("d1")
             fleet.start()
@@ -112,10 +112,10 @@
             server.held.clear()
             vm.signal(signal.SIGTERM)
             wait_for(lambda: vm.find_lines("process.stopping"), "a stop")
-            # What comes while it stands still is there at the moment at which
-            # it finds that no connection is left.
+            # A request that arrives while the process is paused is there when
+            # the process finds that it has no connections.
             vm.signal(signal.SIGSTOP)
-            late = Late(vm, deadline_ms=1000)
+            late = TimedRequest(vm, deadline_ms=1000)
             time.sleep(EMPTY_S)
             vm.signal(signal.SIGCONT)
             time.sleep(0.5)
@@ -124,11 +124,11 @@
             self.assertEqual(late.status, 200)
             self.assertEqual(vm.process.wait(30), 0)
 
-    # Guards against an answer that is dropped by the end of the process, or by
-    # the limit for idle connections, while its caller still reads it.
+    # Guards against an answer that is lost to the end of the process, or to
+    # the idle timeout, while its caller still reads it.
     def test_an_answer_that_is_read_slowly_is_whole(self):
         with Fleet(vms=("a",)) as fleet:
-            fleet.add_worker("d1").pad = LARGE
+            fleet.add_worker("d1").pad = LARGE_BYTES
             fleet.start()
             vm = fleet.vms[0]
             with socket.socket() as caller:
@@ -136,19 +136,19 @@
                 caller.connect(vm.address())
                 caller.sendall(format_request("/forms/1", "slow"))
                 wait_for(lambda: vm.find_lines("request", request="slow"),
-                         "an answer on its way")
+                         "the answer to be sent")
                 vm.signal(signal.SIGTERM)
                 time.sleep(QUIET_S)
                 caller.settimeout(10)
                 answer = http.client.HTTPResponse(caller)
                 answer.begin()
                 self.assertEqual(answer.status, 200)
-                self.assertGreater(len(answer.read()), LARGE)
+                self.assertGreater(len(answer.read()), LARGE_BYTES)
             self.assertEqual(vm.process.wait(30), 0)
 
-    # Guards against look-ups sent behind one another that a stop cuts off: a
-    # closing answer goes out while a later one still runs.
-    def test_look_ups_behind_one_another_are_all_answered(self):
+    # Guards against losing pipelined requests in a stop: a closing answer is
+    # sent while a later request still runs.
+    def test_pipelined_requests_are_all_answered(self):
         with Fleet(vms=("a",)) as fleet:
             slow = fleet.add_worker("d1")
             quick = fleet.add_worker("v1", service="vault")
--- a/tests/e2e/test_examples.py
+++ b/tests/e2e/test_examples.py
@@ -1,4 +1,4 @@
-"""The examples run as their page says."""
+"""The examples run, and examples/README.md lists them all."""
 
 import glob
 import os
@@ -18,7 +18,7 @@
                               stderr=subprocess.STDOUT, text=True,
                               timeout=120)
 
-    def test_every_script_ends_well(self):
+    def test_every_script_succeeds(self):
         for path in sorted(glob.glob(EXAMPLES + "/[0-9]*.sh")):
             with self.subTest(os.path.basename(path)):
                 done = self.run_example(path)
@@ -36,7 +36,7 @@
         self.assertEqual(other.returncode, 1)
         self.assertIn("row 2, column service", other.stdout)
 
-    def test_callers_never_go_back_while_a_share_rises(self):
+    def test_no_caller_moves_back_while_a_share_rises(self):
         done = self.run_example(BUILD + "/bin/example_10-share")
         self.assertEqual(done.returncode, 0)
         self.assertIn("went back: 0", done.stdout)
--- a/tests/e2e/test_large_configuration.py
+++ b/tests/e2e/test_large_configuration.py
@@ -1,5 +1,5 @@
 #!/usr/bin/python3
-"""A configuration that takes longer to arrive than a call may be silent."""
+"""A configuration that takes longer to transfer than the response timeout."""
 
 import unittest
 
@@ -21,10 +21,10 @@
 
 
 class LargeConfiguration(unittest.TestCase):
-    def test_an_answer_that_goes_on_arriving_is_not_given_up(self):
-        """Guards against a large configuration that is never in force behind
-        a narrow link: each call for it was given up, with most of it there,
-        and the next one began anew."""
+    def test_an_answer_that_makes_progress_does_not_time_out(self):
+        """Guards against a large configuration that never arrives over a slow
+        link: each call timed out with most of it read, and the next one
+        started over."""
         with Fleet(vms=("a",), first_start=True) as fleet:
             fleet.add_worker("d1")
             fleet.start()
@@ -34,10 +34,10 @@
             wait_for(lambda: is_in_force(vm, 50), "the large configuration")
             self.assertEqual(vm.find_lines("store.lost", peer="op"), [])
 
-    def test_a_route_that_gets_a_home_is_kept_there(self):
-        """Guards against requests that leave their region long after a
-        version gave it to their route as its home: the version was too large
-        to arrive in the time of a call."""
+    def test_a_route_stays_in_its_allowed_region(self):
+        """Guards against requests that leave the allowed region of their route
+        long after a version set it: the version was too large to arrive
+        within the timeout of a call."""
         with Fleet(vms=("a",), first_start=True) as fleet:
             fleet.add_worker("east", zone="a")
             fleet.add_worker("west", zone="c")
@@ -47,16 +47,16 @@
             routes = add_routes(fleet)
             routes[0]["home-regions"] = ["west"]
             fleet.configure(routes=routes, version=50)
-            wait_for(lambda: is_in_force(vm, 50), "the home region")
+            wait_for(lambda: is_in_force(vm, 50), "the allowed region")
             before = len(fleet.workers["east"].ran)
             for key in range(20):
                 self.assertEqual(vm.request(key=str(key)).status, 200)
             self.assertEqual(len(fleet.workers["east"].ran), before)
             self.assertEqual(len(fleet.workers["west"].ran), 20)
 
-    def test_an_answer_that_stops_arriving_is_given_up(self):
-        """Guards against an entry VM that waits for the rest of an answer
-        whose connection has gone silent."""
+    def test_an_answer_that_stalls_times_out(self):
+        """Guards against waiting forever for the rest of an answer on a
+        stalled connection."""
         with Fleet(vms=("a",), first_start=True) as fleet:
             fleet.add_worker("d1")
             fleet.start()
@@ -64,7 +64,7 @@
             fleet.store.stop_after = 20000
             fleet.configure(routes=add_routes(fleet), version=50)
             wait_for(lambda: vm.find_lines("store.lost", peer="op"),
-                     "the silence to be noticed")
+                     "the timeout")
             fleet.store.stop_after = 0
             wait_for(lambda: is_in_force(vm, 50), "the large configuration")
 
--- a/tests/e2e/test_leaving.py
+++ b/tests/e2e/test_leaving.py
@@ -1,4 +1,4 @@
-"""Leaving and graceful stops: planned work interrupts nobody."""
+"""Leaving servers and graceful shutdown interrupt no request."""
 
 import signal
 import threading
@@ -10,12 +10,12 @@
 
 
 class Load:
-    """Callers that send one request after another until told to stop."""
+    """Callers that send one request after another until stop()."""
 
     def __init__(self, deployment, vm, target, count=3):
         self.answers = []
         self.errors = []
-        self.over = False
+        self.stopped = False
         self.threads = [threading.Thread(target=self.run,
                                          args=(deployment, vm, target))
                         for _ in range(count)]
@@ -23,7 +23,7 @@
             thread.start()
 
     def run(self, deployment, vm, target):
-        while not self.over:
+        while not self.stopped:
             try:
                 answer = deployment.request(vm, target)
                 self.answers.append((answer.status, answer.backend))
@@ -31,7 +31,7 @@
                 self.errors.append(error)
 
     def stop(self):
-        self.over = True
+        self.stopped = True
         for thread in self.threads:
             thread.join()
 
@@ -39,8 +39,8 @@
 class LeavingTest(unittest.TestCase):
 
     def leave(self, d, order):
-        """Orders that dossiers-montreal-01 leaves, under load; nothing new
-        reaches it after that has taken hold, and no caller is hurt."""
+        """Makes dossiers-montreal-01 leave by order() under load. It must get
+        no new requests soon after, and no request may fail."""
         name = "dossiers-montreal-01"
         load = Load(d, "montreal-1", "/s/dossiers/x?ms=5")
         try:
@@ -48,42 +48,42 @@
                        "it gets requests")
             order(name)
 
-            def is_quiet():
+            def gets_nothing():
                 before = len(load.answers)
                 started = d.counts()[name]["started"]
                 wait_until(lambda: len(load.answers) > before + 30,
-                           "requests go on")
+                           "further requests")
                 return d.counts()[name]["started"] == started
 
-            wait_until(is_quiet, "it gets nothing new")
-            self.assertTrue(is_quiet())
+            wait_until(gets_nothing, "it gets nothing new")
+            self.assertTrue(gets_nothing())
         finally:
             load.stop()
         self.assertEqual(load.errors, [])
         self.assertEqual({status for status, _ in load.answers}, {200})
         self.assertEqual(d.counts()[name]["cancelled"], 0)
 
-    # The sheet says that the backend server leaves.
-    def test_the_sheet_suffices(self):
+    # The sheet drains the backend server.
+    def test_drained_by_the_sheet(self):
         with Deployment(regions=("montreal",), vms=1) as d:
             self.leave(d, lambda name: d.put_sheet(
                 "montreal-1", ["+0,,,,,,%s," % name]))
 
-    # The platform's list says so.
-    def test_the_platforms_list_suffices(self):
+    # The platform's list reports it as leaving.
+    def test_leaving_by_the_platforms_list(self):
         with Deployment(regions=("montreal",), vms=1) as d:
             self.leave(d, lambda name: d.set_vms(
                 [{"name": name, "state": "leaving"}]))
 
-    # The backend server itself says so, by its load.
-    def test_its_own_word_suffices(self):
+    # The backend server reports it with its load.
+    def test_leaving_by_its_load_report(self):
         with Deployment(regions=("montreal",), vms=1) as d:
             self.leave(d, lambda name: d.control_backends(name,
                                                           leaving=True))
 
-    # The platform's list flaps: leaving, then live again. A server that
-    # began to leave must not get new work meanwhile.
-    def test_leaving_sticks_while_the_list_flaps(self):
+    # The platform's list reports the server as leaving, then as live again. A
+    # server that is leaving must not get new requests for that.
+    def test_leaving_persists_while_the_list_flaps(self):
         with Deployment(regions=("montreal",), vms=1) as d:
             def flap(name):
                 d.set_vms([{"name": name, "state": "leaving"}])
@@ -92,7 +92,8 @@
                 d.set_vms([{"name": name, "state": "live"}])
             self.leave(d, flap)
 
-    # An operator drains by the admin API; another row of the sheet stays.
+    # An operator drains through the admin API; the other row of the sheet
+    # stays.
     def test_drain_by_the_admin_api(self):
         with Deployment(vms=1) as d:
             d.put_sheet("montreal-1",
@@ -103,10 +104,9 @@
                 [row["ordered_percent"]
                  for row in d.status("montreal-1")["shifts"]], [50])
 
-    # SIGTERM to an entry VM while a crew's photo upload is in progress and
-    # a filing runs. Both end in peace; new callers still holding an old
-    # look-up are served until it has died; the process exits with 0.
-    def test_a_stopping_entry_vm_cuts_off_nobody(self):
+    # SIGTERM to an entry VM while two uploads run: both complete, new callers
+    # with an old lookup are still served, and the process exits with 0.
+    def test_a_stopping_entry_vm_completes_its_requests(self):
         with Deployment(regions=("montreal",), vms=2,
                         limits={"drain_notice_ms": 1500}) as d:
             results = []
@@ -125,18 +125,18 @@
             source = d.caller_ip("montreal")
             wait_until(lambda: [vm["name"] for vm in d.lookup(
                 "montreal-2", "dossiers", source).json()["vms"]] ==
-                ["montreal-2"], "it is out of the other VM's look-ups")
+                ["montreal-2"], "it is out of the other VM's lookups")
             late = d.request("montreal-1", "/s/dossiers/late")
             self.assertEqual(late.status, 200)
-            d.kill("montreal-1", signal.SIGTERM)  # again: changes nothing
+            d.kill("montreal-1", signal.SIGTERM)  # has no effect
             for thread in threads:
                 thread.join()
             self.assertEqual([answer.status for answer in results],
                              [200, 200])
             self.assertEqual(d.nodes["montreal-1"].wait(), 0)
 
-    # A stop that outlasts its limit ends, and says so by its status.
-    def test_a_stop_has_a_limit(self):
+    # A stop that reaches the shutdown deadline exits with status 3.
+    def test_a_stop_ends_at_the_shutdown_deadline(self):
         with Deployment(regions=("montreal",), vms=1,
                         services={"dossiers": {"deadline_ms": 500}},
                         limits={"drain_notice_ms": 100,
@@ -156,9 +156,9 @@
         except OSError:
             pass
 
-    # Guards against requests that the limit of a stop cuts off without a
-    # word: a deadline may be longer than the limit.
-    def test_a_request_at_the_limit_of_a_stop_is_told(self):
+    # Guards against requests without an answer at the shutdown deadline, which
+    # may be before their own.
+    def test_a_request_at_the_shutdown_deadline_is_answered(self):
         with Deployment(regions=("montreal",), vms=1,
                         services={"dossiers": {"deadline_ms": 500}},
                         limits={"drain_notice_ms": 100,
--- a/tests/e2e/test_limits.py
+++ b/tests/e2e/test_limits.py
@@ -1,4 +1,4 @@
-"""Shifts stay under their caps; no region gets more than it carries."""
+"""Shifts stay under their caps, and regions within their capacity."""
 
 import signal
 import subprocess
@@ -10,20 +10,20 @@
 
 SERVICES = {"dossiers": {"backends": 4, "slots": 3, "queue": 50,
                          "mean_ms": 20}}
-SLOTS = 24  # 12, and three more sent to each server
+CAPACITY = 24  # 4 servers with 3 slots, and 3 more requests sent to each
 CAP = 40
 
 
 class Callers:
-    """Callers of montreal at all entry VMs, as if they all held old
-    look-ups; counts whose backend servers answered."""
+    """Callers of montreal that use all entry VMs, as callers with old lookups
+    do. Counts answers by region and refusals by (reason, outcome)."""
 
     def __init__(self, d, count=12, target="/s/dossiers/x?ms=10"):
         self.d = d
         self.regions = {}
         self.refusals = {}
         self.lock = threading.Lock()
-        self.over = False
+        self.stopped = False
         self.started = time.monotonic()
         vms = list(d.vms)
         self.threads = [threading.Thread(
@@ -34,24 +34,24 @@
 
     def run(self, vm, target, number):
         source = self.d.caller_ip("montreal", number + 1)
-        while not self.over:
+        while not self.stopped:
             try:
                 answer = self.d.request(vm, target, source=source)
             except OSError:
                 continue
             with self.lock:
-                table = self.regions if answer.status == 200 \
+                counts = self.regions if answer.status == 200 \
                     else self.refusals
                 name = answer.region if answer.status == 200 \
                     else (answer.reason, answer.outcome)
-                table[name] = table.get(name, 0) + 1
+                counts[name] = counts.get(name, 0) + 1
 
     def count(self, region):
         with self.lock:
             return self.regions.get(region, 0)
 
     def stop(self):
-        self.over = True
+        self.stopped = True
         for thread in self.threads:
             thread.join()
         self.elapsed = time.monotonic() - self.started
@@ -60,7 +60,8 @@
 class LimitsTest(unittest.TestCase):
 
     def run_shift(self, d, disturb):
-        """All of montreal's callers are ordered to quebec, under a cap."""
+        """Shifts all callers of montreal to quebec under a cap; disturb() runs
+        faults meanwhile."""
         put = d.put_sheet("montreal-1", [
             "+0,dossiers,montreal,quebec,100%%,%d req/s,," % CAP])
         self.assertEqual(put.status, 200, put.body)
@@ -73,74 +74,73 @@
             disturb(d, callers)
         finally:
             callers.stop()
-        # The bucket of each entry VM holds 100 ms of its share, or one
-        # request where that is more.
+        # The token bucket of each entry VM holds 100 ms of its share, or one
+        # request if that is more.
         allowed = CAP * (callers.elapsed + 0.1) + len(d.vms)
         self.assertLessEqual(callers.count("quebec"), allowed)
         self.assertGreater(callers.count("montreal"), 0)
-        self.assertLessEqual(d.peak("dossiers", "quebec"), SLOTS)
-        self.assertLessEqual(d.peak("dossiers", "montreal"), SLOTS)
+        self.assertLessEqual(d.peak("dossiers", "quebec"), CAPACITY)
+        self.assertLessEqual(d.peak("dossiers", "montreal"), CAPACITY)
         return callers
 
-    def wait_for(self, callers, count):
+    def wait_shifted(self, callers, count):
         before = callers.count("quebec")
         wait_until(lambda: callers.count("quebec") >= before + count,
                    "%d more shifted requests" % count)
 
-    # Many more callers than the cap allows come through all entry VMs,
-    # since look-ups that they hold still name them. The rest stays at home.
+    # More callers than the cap allows use all entry VMs, which their old
+    # lookups name. The excess is served in montreal.
     def test_a_shift_stays_under_its_cap(self):
         with Deployment(vms=2, services=SERVICES) as d:
-            self.run_shift(d, lambda d, c: self.wait_for(c, 120))
+            self.run_shift(d, lambda d, c: self.wait_shifted(c, 120))
 
-    # The store is down during the whole shift: nobody can be asked there.
+    # The store is down during the whole shift.
     def test_the_cap_holds_without_the_store(self):
         with Deployment(vms=2, services=SERVICES) as d:
             def disturb(d, callers):
                 d.control_platform(down=True)
-                self.wait_for(callers, 120)
+                self.wait_shifted(callers, 120)
             self.run_shift(d, disturb)
 
-    # An entry VM that borrowed from the others is frozen until its loans
-    # have lapsed and were lent anew, then goes on as if nothing happened.
-    def test_a_frozen_borrower_uses_no_lapsed_loan(self):
+    # An entry VM with loans is frozen until they have expired and were lent to
+    # others, and then resumes.
+    def test_a_frozen_borrower_uses_no_expired_loan(self):
         with Deployment(vms=2, services=SERVICES) as d:
             def disturb(d, callers):
-                self.wait_for(callers, 60)
+                self.wait_shifted(callers, 60)
                 d.pause("quebec-2")
-                self.wait_for(callers, 120)
+                self.wait_shifted(callers, 120)
                 d.resume("quebec-2")
-                self.wait_for(callers, 60)
+                self.wait_shifted(callers, 60)
             self.run_shift(d, disturb)
 
-    # An entry VM dies and is replaced twice; the new process knows nothing
-    # of the loans that the old one made.
-    def test_a_replaced_entry_vm_does_not_raise_the_sum(self):
+    # An entry VM dies and is replaced twice; the new process does not know the
+    # loans of the old one.
+    def test_a_replaced_entry_vm_does_not_raise_the_total(self):
         with Deployment(vms=2, services=SERVICES) as d:
             def disturb(d, callers):
                 for _ in range(2):
-                    self.wait_for(callers, 40)
+                    self.wait_shifted(callers, 40)
                     d.restart("quebec-1")
-                self.wait_for(callers, 40)
+                self.wait_shifted(callers, 40)
             self.run_shift(d, disturb)
 
-    # The cap is changed under load; neither version's is exceeded for long:
-    # the sum stays under the higher one at all times.
+    # The cap is lowered under load: the total stays under the higher cap.
     def test_a_new_version_changes_the_cap(self):
         with Deployment(vms=2, services=SERVICES) as d:
             def disturb(d, callers):
-                self.wait_for(callers, 40)
+                self.wait_shifted(callers, 40)
                 put = d.put_sheet("quebec-1", [
                     "+0,dossiers,montreal,quebec,100%,10 req/s,,"])
                 self.assertEqual(put.status, 200)
                 d.wait_version(2)
-                self.wait_for(callers, 20)
+                self.wait_shifted(callers, 20)
             self.run_shift(d, disturb)
 
-    # Callers with old look-ups ask montreal's entry VMs for large photos
-    # that the sheet moved to quebec. The link between the regions is small,
-    # and what it can't carry stays at home.
-    def test_a_link_carries_no_more_than_it_can(self):
+    # Callers with old lookups request large answers from entry VMs of montreal
+    # after a shift to quebec. What exceeds the 20 Mbit/s link between the
+    # regions is served in montreal.
+    def test_traffic_stays_under_the_link_capacity(self):
         with Deployment(vms=2, services=SERVICES, link_mbit=20) as d:
             d.put_sheet("montreal-1",
                         ["+0,dossiers,montreal,quebec,100%,,,"])
@@ -150,27 +150,27 @@
                 del d.vms[vm]
             callers = Callers(d, 8, "/s/dossiers/x?ms=5&bytes=400000")
             try:
-                self.wait_for(callers, 40)
+                self.wait_shifted(callers, 40)
             finally:
                 callers.stop()
             mbit = callers.count("quebec") * 3.2
-            # Answers that are on their way when the account is settled: one
-            # for each caller; and a quantum of 10 Mbit for each entry VM.
+            # Plus answers in flight when usage is settled, one for each
+            # caller, and a quantum of 10 Mbit for each entry VM.
             allowed = 20 * callers.elapsed + 8 * 3.2 + 2 * 10
             self.assertLessEqual(mbit, allowed)
             self.assertGreater(callers.count("montreal"), 0)
 
-    # A whole region goes: its backend servers and its entry VMs. The other
-    # takes what it carries, and never more; the rest is told at once that
-    # it was not run.
-    def test_a_region_that_is_gone_overloads_no_other(self):
+    # All backend servers and entry VMs of a region die. The other region takes
+    # requests up to its capacity; the rest is refused at once as not run.
+    def test_a_region_that_is_down_overloads_no_other(self):
         with Deployment(vms=2, services=SERVICES) as d:
             d.put_sheet("montreal-1",
                         ["+0,dossiers,montreal,quebec,100%,,,"])
             d.wait_version(1)
             callers = Callers(d, 40, "/s/dossiers/x?ms=60")
             try:
-                wait_until(lambda: callers.count("quebec") > 50, "it works")
+                wait_until(lambda: callers.count("quebec") > 50,
+                           "requests run in quebec")
                 d.standins["dossiers", "quebec"].signal(signal.SIGKILL)
                 for vm in ("quebec-1", "quebec-2"):
                     d.kill(vm)
@@ -179,16 +179,15 @@
                            "montreal takes over")
             finally:
                 callers.stop()
-            self.assertLessEqual(d.peak("dossiers", "montreal"), SLOTS)
+            self.assertLessEqual(d.peak("dossiers", "montreal"), CAPACITY)
             self.assertEqual([name for name in callers.refusals
                               if name[0] in ("queue-timeout", "queue-full",
                                              "no-headroom", "no-backend")
                               and name[1] != "not-run"], [])
 
-    # Three times the capacity for some seconds. Those refused get their
-    # answer, the region's slots are used and never overrun, and the entry
-    # VMs' memory stays bounded.
-    def test_three_times_the_capacity(self):
+    # Three times the capacity for 4 s: the region's capacity is never
+    # exceeded, and the entry VMs stay healthy with bounded memory.
+    def test_overload_at_three_times_the_capacity(self):
         with Deployment(regions=("montreal",), vms=2,
                         services=SERVICES) as d:
             targets = []
@@ -199,7 +198,7 @@
                  "--duration", "4", "--service", "dossiers", "--path",
                  "/x?ms=20", "--connections", "400"],
                 capture_output=True, text=True, check=True)
-            self.assertLessEqual(d.peak("dossiers", "montreal"), SLOTS)
+            self.assertLessEqual(d.peak("dossiers", "montreal"), CAPACITY)
             started = sum(row["started"] for row in d.counts().values())
             self.assertGreater(started, 0, load.stdout)
             for name in d.vms:
--- a/tests/e2e/test_replaced.py
+++ b/tests/e2e/test_replaced.py
@@ -1,4 +1,4 @@
-"""Servers that left and were replaced get work again."""
+"""Servers that left and were replaced get requests again."""
 
 import signal
 import unittest
@@ -18,27 +18,27 @@
         answer = d.lookup(vm, "dossiers", d.caller_ip("montreal"))
         return sorted(row["name"] for row in answer.json()["vms"])
 
-    # A backend server says that it leaves, and its VM is replaced by one of
-    # the same name. The new process leaves nowhere. If its predecessor's
-    # word stuck to the name, every drain would cost capacity for good.
-    def test_a_new_process_of_a_backend_server_gets_work(self):
+    # Guards against losing capacity with every drain: a backend server reports
+    # that it is leaving, and a new process of the same name, which is not,
+    # must get requests.
+    def test_a_new_process_of_a_backend_server_gets_requests(self):
         with Deployment(regions=("montreal",), vms=1) as d:
-            wait_until(lambda: NAME in self.get_backends(d), "it gets work")
+            wait_until(lambda: NAME in self.get_backends(d), "requests to it")
             d.control_backends(NAME, leaving=True)
             wait_until(lambda: NAME not in self.get_backends(d),
-                       "it gets no work")
+                       "no requests to it")
             d.control_backends(NAME, leaving=False, crash=200)
             wait_until(lambda: NAME in self.get_backends(d),
-                       "the new process gets work")
+                       "the new process gets requests")
 
-    # The same by the platform's list, which lags: it goes on saying leaving
-    # for a while after the new process has begun.
-    def test_a_list_that_lags_holds_up_a_new_process_only_meanwhile(self):
+    # The same through the platform's list, which lags: it reports the server
+    # as leaving for a while after the new process has started.
+    def test_a_new_process_gets_requests_once_the_list_is_current(self):
         with Deployment(regions=("montreal",), vms=1) as d:
-            wait_until(lambda: NAME in self.get_backends(d), "it gets work")
+            wait_until(lambda: NAME in self.get_backends(d), "requests to it")
             d.set_vms([{"name": NAME, "state": "leaving"}])
             wait_until(lambda: NAME not in self.get_backends(d),
-                       "it gets no work")
+                       "no requests to it")
             d.control_backends(NAME, crash=200)
             reads = d.store_reads()
             wait_until(lambda: d.store_reads() > reads + 12,
@@ -46,12 +46,12 @@
             self.assertNotIn(NAME, self.get_backends(d))
             d.set_vms([{"name": NAME, "state": "live"}])
             wait_until(lambda: NAME in self.get_backends(d),
-                       "the new process gets work")
+                       "the new process gets requests")
 
-    # An entry VM is stopped gracefully and started again, as for each
-    # release. Callers have to find it again, or the last VM of a region to
-    # be restarted takes all the others' callers.
-    def test_a_restarted_entry_vm_is_in_the_look_ups_again(self):
+    # An entry VM is stopped gracefully and restarted, as in each release. It
+    # must return to the lookups; otherwise the last VM of a region to be
+    # restarted gets the callers of all others.
+    def test_a_restarted_entry_vm_returns_to_the_lookups(self):
         with Deployment(regions=("montreal",), vms=2,
                         limits={"drain_notice_ms": 300}) as d:
             both = ["montreal-1", "montreal-2"]
@@ -63,15 +63,15 @@
             d.restart("montreal-1")
             wait_until(lambda: self.get_vms(d) == both, "both are in again")
 
-    # The sheet drains an entry VM, and a later sheet takes that back.
-    def test_a_drain_row_takes_an_entry_vm_out_of_the_look_ups(self):
+    # A sheet drains an entry VM, and a later sheet cancels the drain.
+    def test_a_drain_row_removes_an_entry_vm_from_the_lookups(self):
         with Deployment(regions=("montreal",), vms=2) as d:
             both = ["montreal-1", "montreal-2"]
             wait_until(lambda: self.get_vms(d) == both, "both are in")
             d.put_sheet("montreal-1", ["+0,,,,,,montreal-1,"])
             for vm in both:
                 wait_until(lambda: self.get_vms(d, vm) == ["montreal-2"],
-                           "it is out of the look-ups of " + vm)
+                           "it is out of the lookups of " + vm)
             d.put_sheet("montreal-1", [])
             for vm in both:
                 wait_until(lambda: self.get_vms(d, vm) == both,
--- a/tests/e2e/test_silent_connections.py
+++ b/tests/e2e/test_silent_connections.py
@@ -1,4 +1,4 @@
-"""Open connections go silent for good while new ones work."""
+"""Open connections stall for good while new ones work."""
 
 import unittest
 
@@ -7,11 +7,10 @@
 
 class SilentConnectionsTest(unittest.TestCase):
 
-    # Something between an entry VM and its backend servers forgets all
-    # open connections. Requests on them vanish without an error. A crew's
-    # look-up, which may repeat, is answered within its deadline; a
-    # certificate is sent once at the most.
-    def test_requests_that_may_repeat_are_answered(self):
+    # The network drops all open connections between an entry VM and its
+    # backend servers without a reset. Idempotent requests are answered within
+    # their deadline.
+    def test_idempotent_requests_are_answered(self):
         with Deployment(regions=("montreal",), vms=1,
                         limits={"retry_share": 1.0}) as d:
             for number in range(12):
@@ -22,24 +21,24 @@
                                    Sas_Deadline_Ms=8000)
                 self.assertEqual(answer.status, 200, answer.body)
 
-    # What may not repeat goes over a connection that was heard from within
-    # the last moment, or over a new one; so it is not lost on an old one.
-    def test_what_may_not_repeat_takes_a_proved_connection(self):
+    # Guards against losing a non-idempotent request on a stalled connection:
+    # it uses one that received data very recently, or a new one.
+    def test_non_idempotent_requests_avoid_idle_connections(self):
         with Deployment(regions=("montreal",), vms=1) as d:
             for number in range(12):
                 d.request("montreal-1", "/s/dossiers/warm/%d" % number)
             reads = d.store_reads()
             wait_until(lambda: d.store_reads() > reads + 4,
-                       "the connections are no longer fresh")
+                       "the connections have been idle")
             d.control_backends("*", silent=True)
             answer = d.request("montreal-1", "/s/dossiers/note", "POST",
                                b"once", Idempotency_Key="once-1")
             self.assertEqual(answer.status, 200)
             self.assertEqual(d.count_key("once-1"), 1)
 
-    # The store accepts and never answers, then works again. Requests that
-    # need no store are not held up; configuration comes through afterwards.
-    def test_a_silent_store_holds_up_no_request(self):
+    # The store accepts calls without answering, and recovers. Requests that do
+    # not need the store are not delayed, and later changes arrive.
+    def test_an_unresponsive_store_delays_no_request(self):
         with Deployment(regions=("montreal", "quebec"), vms=1) as d:
             d.control_platform(freeze=True)
             for number in range(10):
--- a/tests/e2e/test_silent_leaders.py
+++ b/tests/e2e/test_silent_leaders.py
@@ -1,5 +1,5 @@
 #!/usr/bin/python3
-"""Entry VMs that ask the store for others, all silenced by it at once."""
+"""The store stops answering the leaders of all zones at the same time."""
 
 import unittest
 
@@ -9,7 +9,7 @@
 
 
 def find_leaders(fleet):
-    """Those that took their rows from the store, one in each zone."""
+    """The leaders, one per zone: entry VMs with rows from the store itself."""
     def find():
         leaders = [vm for vm in fleet.vms if not vm.find_lines(
             "store.listed", **{"from": "entry VM"})]
@@ -19,8 +19,8 @@
 
 
 class SilentLeaders(unittest.TestCase):
-    def silence_leaders(self, fleet):
-        """Right after each has begun to wait for a change."""
+    def stall_leaders(self, fleet):
+        """The store stops answering the leaders during their long polls."""
         fleet.add_worker("d1")
         fleet.start()
         leaders = find_leaders(fleet)
@@ -36,30 +36,30 @@
         for vm in leaders:
             line = wait_for(lambda: next(iter(
                 vm.find_lines("store.lost", peer=table)), None),
-                "the silence to be noticed at " + vm.name)
+                "the timeout at " + vm.name)
             self.assertLess(line["age_ms"], BOUND_MS)
 
-    def check(self, table, change, has_it):
+    def check(self, table, change, has_change):
         with Fleet(vms=("a", "a", "c", "c"), first_start=True,
                    bounds={"config-ms": BOUND_MS,
                            "drain-ms": BOUND_MS}) as fleet:
-            leaders = self.silence_leaders(fleet)
+            leaders = self.stall_leaders(fleet)
             change(fleet)
             for vm in fleet.vms:
-                wait_for(lambda: has_it(vm), "the change at " + vm.name)
+                wait_for(lambda: has_change(vm), "the change at " + vm.name)
             self.assert_noticed_in_time(leaders, table)
 
-    def test_followers_have_a_configuration_when_all_leaders_are_silenced(
+    def test_followers_get_a_configuration_when_no_leader_has_the_store(
             self):
-        """Guards against an old configuration that is vouched for longer than
-        a new one may take: nobody has it whose datagrams could name it."""
+        """Guards against followers that treat an old configuration as current
+        for longer than a change may take: no entry VM has the new version, so
+        no datagram names it."""
         self.check("op", lambda fleet: fleet.configure(version=50),
                    lambda vm: vm.find_lines("config.apply")[-1]["text"]
                    .startswith("version=50 "))
 
-    def test_followers_hear_who_leaves_when_all_leaders_are_silenced(self):
-        """Guards against requests to a server that said that it leaves, the
-        same way."""
+    def test_followers_learn_who_leaves_when_no_leader_has_the_store(self):
+        """Guards against requests to a leaving server, in the same case."""
         self.check("servers", lambda fleet: fleet.add_worker(
             "d1", state="draining", **{"seq-no": 2}),
             lambda vm: any("draining=1" in line["text"] for line in
--- a/tests/e2e/test_stale_rows.py
+++ b/tests/e2e/test_stale_rows.py
@@ -1,13 +1,11 @@
 #!/usr/bin/python3
-"""Entry VMs that the store stops answering, while it serves the others.
-
-What was seen: on two days entry VMs answered 404 for a route that had been
-acknowledged seconds ago, and sent to servers that had said that they leave.
-The store was silent for some entry VMs alone. The leader of a zone told its
-followers "nothing new" until its own long question to the store had run out,
-3.8 s later; the followers were in touch with the store and didn't ask it.
-The logs of both sides proved it: followers had the news 0.1 s after their
-leader's `store.lost`, and no call of theirs reached the store before.
+"""The store stops answering some entry VMs while it serves the others.
+
+Guards against 404 for a route acknowledged seconds before, and against
+requests to leaving servers: the leader of a zone whose long poll got no answer
+reported "no change" to its followers until the poll timed out after 3.8 s, and
+the followers, which could reach the store, did not poll it themselves. They
+got the update 0.1 s after their leader's `store.lost`.
 """
 
 import unittest
@@ -16,21 +14,21 @@
 
 
 def pair_up(fleet):
-    """Leader and follower of the two entry VMs of a zone."""
+    """Returns the leader and the follower of the zone with two entry VMs."""
     def find_follower():
         return next((vm for vm in fleet.vms if all(
             vm.find_lines("store.listed", peer=table,
                           **{"from": "entry VM"})
             for table in ("op", "servers"))), None)
-    follower = wait_for(find_follower, "one to follow the other")
+    follower = wait_for(find_follower, "a follower")
     leader = next(vm for vm in fleet.vms
                   if vm is not follower and vm.zone == follower.zone)
     return leader, follower
 
 
 class StaleRows(unittest.TestCase):
-    def assert_before_loss(self, line, vm, table):
-        """vm had not given its own question up when the line was written."""
+    def assert_before_timeout(self, line, vm, table):
+        """The line was logged before vm's own poll of the table timed out."""
         for lost in vm.find_lines("store.lost", peer=table):
             self.assertLess(line["time"], lost["time"])
 
@@ -38,12 +36,12 @@
         return next((line for line in vm.find_lines("config.apply")
                      if "version=%d " % version in line["text"]), None)
 
-    def find_leaving(self, vm, server):
+    def find_draining(self, vm, server):
         return next((line for line in vm.find_lines("server.state",
                                                     peer=server)
                      if "draining=1" in line["text"]), None)
 
-    def start_with_silent_leader(self, fleet):
+    def start_with_stalled_leader(self, fleet):
         fleet.add_worker("d1")
         fleet.add_worker("d2")
         fleet.start()
@@ -51,42 +49,42 @@
         fleet.store.silenced = {leader.store_port}
         return leader, follower
 
-    def test_a_follower_has_a_new_route_while_its_leader_waits_in_vain(self):
+    def test_a_follower_has_a_new_route_before_its_leaders_timeout(self):
         with Fleet(vms=("a", "a", "c"), first_start=True) as fleet:
-            leader, follower = self.start_with_silent_leader(fleet)
+            leader, follower = self.start_with_stalled_leader(fleet)
             fleet.configure(version=50)
             line = wait_for(lambda: self.find_version(follower, 50),
                             "the new version")
-            self.assert_before_loss(line, leader, "op")
+            self.assert_before_timeout(line, leader, "op")
 
-    def test_a_follower_hears_who_leaves_while_its_leader_waits_in_vain(self):
+    def test_a_follower_learns_who_leaves_before_its_leaders_timeout(self):
         with Fleet(vms=("a", "a", "c"), first_start=True) as fleet:
-            leader, follower = self.start_with_silent_leader(fleet)
+            leader, follower = self.start_with_stalled_leader(fleet)
             fleet.add_worker("d1", state="draining", **{"seq-no": 2})
-            line = wait_for(lambda: self.find_leaving(follower, "d1"),
-                            "the news that it drains")
-            self.assert_before_loss(line, leader, "servers")
+            line = wait_for(lambda: self.find_draining(follower, "d1"),
+                            "the update that it drains")
+            self.assert_before_timeout(line, leader, "servers")
 
-    def test_one_alone_in_its_zone_hears_from_other_zones(self):
+    def test_the_only_entry_vm_of_a_zone_gets_updates_from_other_zones(self):
         with Fleet(vms=("a", "b", "c"), first_start=True) as fleet:
             fleet.add_worker("d1")
             fleet.add_worker("d2")
             fleet.start()
-            cut_off = fleet.vms[2]
-            fleet.store.silenced = {cut_off.store_port}
+            alone = fleet.vms[2]
+            fleet.store.silenced = {alone.store_port}
             fleet.configure(version=50)
             fleet.add_worker("d1", state="draining", **{"seq-no": 2})
-            line = wait_for(lambda: self.find_version(cut_off, 50),
+            line = wait_for(lambda: self.find_version(alone, 50),
                             "the new version")
-            self.assert_before_loss(line, cut_off, "op")
-            line = wait_for(lambda: self.find_leaving(cut_off, "d1"),
-                            "the news that it drains")
-            self.assert_before_loss(line, cut_off, "servers")
-
-    def test_a_new_route_is_not_ruled_out_by_one_that_is_behind(self):
-        """Guards against a final 404 for a route that others serve already,
-        by an entry VM that has heard of the newer configuration and doesn't
-        have it."""
+            self.assert_before_timeout(line, alone, "op")
+            line = wait_for(lambda: self.find_draining(alone, "d1"),
+                            "the update that it drains")
+            self.assert_before_timeout(line, alone, "servers")
+
+    def test_no_404_with_an_older_configuration_than_peers(self):
+        """Guards against a final 404 for a route that others already serve, by
+        an entry VM that knows of a newer configuration but does not have
+        it."""
         with Fleet(vms=("a", "b", "c"), first_start=True) as fleet:
             fleet.add_worker("d1")
             fleet.start()
@@ -96,16 +94,16 @@
                 fleet.route("new", "/new/", "safe")])
             statuses = []
 
-            def ask():
+            def request_route():
                 statuses.append(behind.request(path="/new/1").status)
                 return statuses[-1] == 200
-            wait_for(ask, "the new route")
+            wait_for(request_route, "the new route")
             self.assertIn(503, statuses)
             self.assertNotIn(404, statuses[statuses.index(503):])
 
-    def test_a_new_route_is_not_ruled_out_in_an_outage(self):
-        """Guards against a final 404 by an entry VM whose configuration is
-        older than a new one may take, and that nobody can tell of one."""
+    def test_no_404_with_a_stale_configuration(self):
+        """Guards against a final 404 by an entry VM that has not confirmed its
+        configuration for longer than a change may take, and has no peers."""
         with Fleet(vms=("a",), first_start=True) as fleet:
             fleet.add_worker("d1")
             fleet.start()
@@ -113,16 +111,16 @@
             self.assertEqual(vm.request(path="/new/1").status, 404)
             fleet.store.mode = "silent"
             wait_for(lambda: vm.request(path="/new/1").status == 503,
-                     "no verdict on the route")
+                     "503 instead of 404")
             self.assertEqual(vm.request().status, 200)
             fleet.store.mode = ""
             wait_for(lambda: vm.request(path="/new/1").status == 404,
-                     "the store's own word")
+                     "404 after the store confirms it")
 
-    def test_one_that_starts_again_in_an_outage_takes_rows_from_others(self):
-        """Guards against refusals by an entry VM that is restarted while the
-        store is away: the others have all rows and would not part with them,
-        since in an outage none of them is sure of the newest."""
+    def test_an_entry_vm_restarted_in_an_outage_gets_rows_from_peers(self):
+        """Guards against refusals by an entry VM that restarts during an
+        outage: its peers have all rows, but would not pass them on, since in
+        an outage none of their rows are current."""
         with Fleet(vms=("a", "c"), first_start=True) as fleet:
             fleet.add_worker("d1")
             fleet.start()
@@ -138,10 +136,9 @@
             wait_for(again.is_ready, "rows from the other zone")
             self.assertEqual(again.request().status, 200)
 
-    def test_one_that_starts_in_an_outage_knows_that_its_rows_are_old(self):
-        """Guards against requests that pile up at servers which turned cold
-        in the outage, sent by an entry VM that takes others' rows for the
-        store's own."""
+    def test_rows_from_peers_in_an_outage_are_stale(self):
+        """Guards against queues at servers that became cold in an outage,
+        caused by an entry VM that treats rows from peers as current."""
         with Fleet(vms=("a", "c"), first_start=True) as fleet:
             fleet.add_worker("d1")
             fleet.start()
@@ -159,12 +156,12 @@
             fleet.store.mode = ""
             wait_for(lambda: again.request().status == 200 and
                      again.find_lines("servers.doubt", in_doubt=False),
-                     "the store's own word")
+                     "the store to confirm the rows")
 
-    def test_servers_have_time_to_say_that_they_are_cold(self):
-        """Guards against requests that pile up at servers which turned cold
-        in an outage of the store: at its return their rows are confirmed, but
-        they write again only with their next heartbeat."""
+    def test_rows_stay_stale_until_servers_can_report_cold_starts(self):
+        """Guards against queues at servers that became cold in an outage of
+        the store: when it recovers their rows are confirmed, but the servers
+        write them again only with their next heartbeat."""
         with Fleet(vms=("a",), first_start=True) as fleet:
             fleet.add_worker("d1")
             fleet.start()
@@ -174,21 +171,22 @@
             def find(step, **fields):
                 vm.request()
                 return vm.find_lines(step, **fields)
-            wait_for(lambda: find("servers.doubt", in_doubt=True), "a doubt")
-            time.sleep(3)  # long enough for rows to lapse
+            wait_for(lambda: find("servers.doubt", in_doubt=True),
+                     "stale rows")
+            time.sleep(3)  # long enough for rows to expire
             fleet.store.mode = ""
             wait_for(lambda: vm.find_lines("store.regained", peer="servers"),
                      "the store to answer again")
             back_at = time.monotonic()
             wait_for(lambda: find("servers.doubt", in_doubt=False),
-                     "the doubt to end")
+                     "current rows")
             self.assertGreater(time.monotonic() - back_at, 1.5)
 
     def test_a_late_page_of_the_store_does_not_hide_a_change(self):
-        """Guards against requests to a server that has said that it leaves:
-        an entry VM that starts asks the store for its rows in pages and has
-        all of them from another one sooner. The first page then passed for
-        all changes up to its version, also those of rows behind it."""
+        """Guards against requests to a leaving server: an entry VM that starts
+        lists the store's rows in pages, and gets all rows from a peer sooner.
+        The first page then counted as all changes up to its version, although
+        rows on later pages had changed too."""
         with Fleet(vms=("a", "c"), first_start=True) as fleet:
             worker = fleet.add_worker("d1")
             for i in range(700):
@@ -201,18 +199,18 @@
             seen = len(again.find_lines("store.listed", peer="servers"))
             again.start()
             wait_for(lambda: len(again.find_lines(
-                "store.listed", peer="servers")) > seen, "rows of the other")
+                "store.listed", peer="servers")) > seen, "rows from the peer")
             fleet.add_worker("s0699", service="other", state="draining",
                              port=worker.port)
-            wait_for(lambda: self.find_leaving(again, "s0699"),
-                     "the news that it drains")
-
-    def test_a_server_that_went_in_an_outage_does_not_come_back(self):
-        """Guards against requests to a server that is gone: after an outage
-        the first entry VM that the store answers keeps rows that went
-        meanwhile for two seconds. Another one, which the store doesn't answer
-        yet, took them from it as of a version at which they are gone, and was
-        never told again."""
+            wait_for(lambda: self.find_draining(again, "s0699"),
+                     "the update that it drains")
+
+    def test_a_server_removed_in_an_outage_does_not_return(self):
+        """Guards against requests to a removed server: after an outage the
+        first entry VM that the store answers keeps rows removed meanwhile for
+        two seconds. Another one, which the store does not answer yet, got them
+        under a version in which they are removed, and so never saw the
+        removal."""
         with Fleet(vms=("a", "c"), first_start=True) as fleet:
             for name in ("d1", "d2"):
                 fleet.add_worker(name)
--- a/tests/e2e/test_stopping.py
+++ b/tests/e2e/test_stopping.py
@@ -1,5 +1,5 @@
-"""A planned stop while requests are still arriving, and answers still being
-read."""
+"""Graceful shutdown while requests are still arriving and answers are still
+being read."""
 
 import http.client
 import signal
@@ -11,10 +11,10 @@
 HEAD = ("POST /s/dossiers/%s HTTP/1.1\r\nHost: x\r\n"
         "Content-Length: %d\r\n\r\n")
 BODY = b"p" * 200000
-ANSWER = 200000   # bytes: more than a slow caller takes at once
-WINDOW = 4096     # bytes that such a caller takes
-STORE_MS = 600    # for one access: longer than the notice, and less than what
-                  # is waited for
+ANSWER_BYTES = 200000   # more than a slow caller reads at once
+WINDOW_BYTES = 4096     # receive buffer of such a caller
+STORE_MS = 600    # store latency: above the drain notice, below the timeouts
+                  # of the test
 HEADER = "time,service,from,to,share,cap,drain,limits\n"  # no row
 
 
@@ -42,12 +42,11 @@
         upload.close()
         return answer
 
-    # A crew sends a photo over a slow link. Half of it has arrived when its
-    # entry VM is told to stop, and the rest comes after the time in which
-    # the VM still takes new requests. h2o hands a request over only when its
-    # body is whole, so nothing else of the node knows of this one: the
-    # process would end, and the crew's connection would break.
-    def test_an_upload_that_is_still_arriving_is_not_cut_off(self):
+    # Guards against exiting during an upload: half of the body has arrived at
+    # SIGTERM, and the rest follows when new requests are already refused. h2o
+    # passes a request on only with its complete body, so that the rest of the
+    # node does not know of this one.
+    def test_an_upload_in_progress_completes(self):
         with Deployment(regions=("montreal",), vms=2,
                         limits={"drain_notice_ms": 300}) as d:
             upload = self.begin_upload(d, "photo")
@@ -63,13 +62,13 @@
     def connect_slowly(self, d):
         caller = socket.socket()
         self.addCleanup(caller.close)
-        caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, WINDOW)
+        caller.setsockopt(socket.SOL_SOCKET, socket.SO_RCVBUF, WINDOW_BYTES)
         caller.settimeout(30)
         caller.connect(d.caller_address("montreal-1"))
         return caller
 
     def begin_stop(self, d):
-        """With a request in progress, so that it can't end yet."""
+        """Sends SIGTERM while a request keeps the process from exiting."""
         wait_until(lambda: d.loads()[0]["running"] +
                    d.loads()[1]["running"] > 0, "a request in progress")
         d.kill("montreal-1", signal.SIGTERM)
@@ -80,29 +79,29 @@
         answer.begin()
         return answer.status, len(answer.read())
 
-    # Guards against an answer that is dropped by the end of the process while
-    # its caller still reads it.
+    # Guards against an answer that is lost to the end of the process while its
+    # caller still reads it.
     def test_an_answer_that_is_read_slowly_is_whole(self):
         with Deployment(regions=("montreal",), vms=1) as d:
             caller = self.connect_slowly(d)
-            caller.sendall(format_get("/a?ms=600&bytes=%d" % ANSWER))
+            caller.sendall(format_get("/a?ms=600&bytes=%d" % ANSWER_BYTES))
             self.begin_stop(d)
             self.assertEqual(d.nodes["montreal-1"].wait(), 0)
-            self.assertEqual(self.read_whole(caller), (200, ANSWER))
+            self.assertEqual(self.read_whole(caller), (200, ANSWER_BYTES))
 
-    # Guards against an answer that is dropped because bytes of a further
-    # request came behind it: closing over them resets the connection.
+    # Guards against an answer that is lost when its connection is closed with
+    # unread bytes of a further request, which resets it.
     def test_an_answer_with_a_request_behind_it_is_whole(self):
         with Deployment(regions=("montreal",), vms=1) as d:
             caller = self.connect_slowly(d)
-            caller.sendall(format_get("/a?ms=600&bytes=%d" % ANSWER))
+            caller.sendall(format_get("/a?ms=600&bytes=%d" % ANSWER_BYTES))
             self.begin_stop(d)
             caller.sendall(format_get("/b"))
             self.assertEqual(d.nodes["montreal-1"].wait(), 0)
-            self.assertEqual(self.read_whole(caller), (200, ANSWER))
+            self.assertEqual(self.read_whole(caller), (200, ANSWER_BYTES))
 
-    # Guards against an operator's change that is dropped without an answer
-    # when the process ends while the store still takes it.
+    # Guards against an operator's change without an answer when the process
+    # ends while the store still handles it.
     def test_a_change_that_waits_for_the_store_is_answered(self):
         with Deployment(regions=("montreal",), vms=1) as d:
             d.control_platform(delay_ms=STORE_MS)
@@ -111,13 +110,13 @@
             self.addCleanup(change.close)
             change.request("PUT", "/v1/sheet", HEADER,
                            {"Authorization": "Bearer " + TOKEN})
-            d.status("montreal-1")  # answered: the one before has been read
+            d.status("montreal-1")  # answered: the change has been read
             d.kill("montreal-1", signal.SIGTERM)
             self.assertEqual(change.getresponse().status, 200)
             self.assertEqual(d.nodes["montreal-1"].wait(), 0)
 
-    # Guards against a request that is handed to a server behind an answer
-    # which closes its connection: it would be lost.
+    # Guards against running a request that follows a closing answer on its
+    # connection: its own answer could not be sent.
     def test_a_request_behind_a_closing_answer_is_not_run(self):
         with Deployment(regions=("montreal",), vms=1) as d:
             with socket.create_connection(
--- a/tests/e2e/test_whole_answers.py
+++ b/tests/e2e/test_whole_answers.py
@@ -1,5 +1,5 @@
-"""Every caller gets the whole answer to its own request, or sees that it
-does not."""
+"""Every caller gets the complete answer to its own request, or a visible
+error."""
 
 import http.client
 import threading
@@ -24,12 +24,11 @@
         return self.d.request("montreal-1", "/s/dossiers" + target,
                               **headers)
 
-    # A crew would read half a job history as if it were whole. The backend
-    # server dies before the end of its answer: before the last chunk, or
-    # before the bytes that content-length promised. Nothing has gone out to
-    # the caller yet, so the system may ask another backend server, and when
-    # all of them break it says so.
-    def test_cut_answers_never_look_whole(self):
+    # Guards against truncated answers that look complete: the backend server
+    # closes before the last chunk, or before content-length bytes. As nothing
+    # has been sent to the caller, the system may retry at another backend
+    # server; when all of them truncate, the answer is 502.
+    def test_truncated_answers_are_502(self):
         for fault in ("cut-chunked", "short"):
             answer = self.get("/history?bytes=3000&fault=" + fault)
             self.assertEqual(answer.status, 502, fault)
@@ -37,33 +36,33 @@
             self.assertEqual(answer.outcome, "unknown")
             self.assertIsNotNone(answer.headers["Retry-After"])
 
-    # The same with a large answer: its first part is with the caller
-    # already, so the connection has to break visibly.
-    def test_cut_after_the_first_part_breaks_the_connection(self):
+    # The same with a large answer, of which the caller already has a part: the
+    # connection must break.
+    def test_truncated_large_answers_break_the_connection(self):
         for fault in ("cut-chunked", "short"):
             with self.assertRaises(http.client.IncompleteRead):
                 self.get("/photo?bytes=4000000&fault=" + fault)
 
-    # An answer that only the end of its connection ends may have been cut
-    # anywhere; nobody could tell.
+    # An answer that ends with its connection cannot be told from a truncated
+    # one.
     def test_close_framed_answer_is_refused(self):
         answer = self.get("/history?bytes=3000&fault=close-framed")
         self.assertEqual(answer.status, 502)
         self.assertEqual(answer.reason, "answer-unframed")
         self.assertEqual(answer.outcome, "ran")
 
-    # A backend server sends bytes of an earlier answer late. The next
-    # caller on that connection would read them as its own answer.
-    def test_late_bytes_reach_nobody(self):
+    # Guards against delivering late bytes of an earlier answer to the next
+    # caller on that backend connection.
+    def test_late_bytes_reach_no_caller(self):
         for number in range(20):
             self.get("/late/%d?fault=late&bytes=200" % number)
             answer = self.get("/own/%d" % number)
             self.assertEqual(answer.status, 200)
             self.assertEqual(answer.json()["target"], "/own/%d" % number)
 
-    # All backend servers send late bytes at the same time, so that whichever
-    # is asked next, and after it, has them on its kept connection.
-    def test_late_bytes_of_all_servers_reach_nobody(self):
+    # All backend servers send late bytes at the same time, so that any that is
+    # used next, or for a retry, has them on its idle connection.
+    def test_late_bytes_of_all_servers_reach_no_caller(self):
         threads = [threading.Thread(target=self.get, args=(
             "/late-all/%d?fault=late&ms=100" % number,))
             for number in range(3)]
@@ -75,8 +74,8 @@
         self.assertEqual(answer.status, 200)
         self.assertEqual(answer.json()["target"], "/own-of-all")
 
-    # Many callers at a time over the same few backend connections, some of
-    # which give up half way: each of the others still gets its own answer.
+    # Concurrent callers share a few backend connections, and some disconnect
+    # early: each of the others gets its own answer.
     def test_answers_are_not_mixed_up(self):
         wrong = []
 
@@ -102,8 +101,9 @@
                 thread.join()
         self.assertEqual(wrong, [])
 
-    # A caller goes away; the backend server must not work on for nobody.
-    def test_a_caller_that_goes_cancels_its_request(self):
+    # When the caller disconnects, its request at the backend server is
+    # cancelled.
+    def test_a_disconnected_caller_cancels_its_request(self):
         with self.assertRaises(OSError):
             self.d.request("montreal-1", "/s/dossiers/hang?fault=hang",
                            timeout=0.2)
@@ -111,15 +111,15 @@
                                for row in self.d.counts().values()) > 0,
                    "the backend server sees the cancellation")
 
-    # The deadline that the caller states is kept, and its answer comes then
-    # with the truth: it was sent, so nobody knows whether it ran.
+    # At the caller's deadline a request that was sent to a backend server is
+    # answered with outcome "unknown".
     def test_deadline_is_answered_as_unknown(self):
         answer = self.get("/hang?fault=hang", Sas_Deadline_Ms=300)
         self.assertEqual(answer.status, 504)
         self.assertEqual(answer.outcome, "unknown")
 
-    # A backend server without room says so; nothing ran there. With all of
-    # them full the caller is told at once that its request was not run.
+    # A full backend server sheds requests without running them. When all are
+    # full the request is refused at once as not run.
     def test_shed_requests_were_not_run(self):
         self.d.control_backends("*", slots=1, queue=0)
         before = sum(row["started"] for row in self.d.counts().values())
@@ -144,8 +144,8 @@
     def hang(self):
         self.get("/hang?fault=hang", Sas_Deadline_Ms=2500)
 
-    # The system's own refusals have to be whole by their framing too; a
-    # careful client would otherwise take "not run" for a cut answer.
+    # Refusals must state their length too; otherwise a client could take
+    # "not-run" for a truncated answer.
     def test_refusals_state_their_length(self):
         for path in ("/s/nowhere/x", "/v1/lookup?service=nowhere"):
             answer = self.d.request("montreal-1", path)
@@ -153,9 +153,9 @@
             self.assertEqual(int(answer.headers["Content-Length"]),
                              len(answer.body))
 
-    # A POST that may repeat by its own rules but not by HTTP's: it is sent,
-    # the connection is reset, and it must not be sent again.
-    def test_a_post_is_not_repeated(self):
+    # A POST with a key, on a route that is not "once", must not be retried
+    # after a connection reset, as POST is not idempotent in HTTP.
+    def test_a_post_is_not_retried(self):
         answer = self.d.request(
             "montreal-1", "/s/dossiers/note?fault=reset-mid", "POST", b"x",
             Idempotency_Key="post-1")
--- a/tests/e2e/test_whole_path.py
+++ b/tests/e2e/test_whole_path.py
@@ -1,4 +1,4 @@
-"""The whole path, as separate processes: sheet, look-up, request, answer."""
+"""The complete path, as separate processes: sheet, lookup, request, answer."""
 
 import unittest
 
@@ -30,7 +30,7 @@
             self.assertEqual(after.status, 200)
             self.assertEqual(after.region, "quebec")
 
-    def test_bodies_arrive_whole(self):
+    def test_bodies_arrive_completely(self):
         with Deployment(regions=("montreal",), vms=1) as d:
             body = bytes(range(256)) * 20000
             answer = d.request("montreal-1", "/s/dossiers/photo", "POST",
