--- a/packages/core/include/sas/fleet.h
+++ b/packages/core/include/sas/fleet.h
@@ -22,7 +22,7 @@
 
 #include "sas/limits.h"
 #include "sas/model.h"
-#include "sas/pace.h"
+#include "sas/service_time.h"
 
 #define SasFleet_MAX_ZONES 64
 #define SasFleet_ID_SIZE 201 /* a key of the store, with the final NUL */
@@ -48,7 +48,7 @@
     int slots; /* execution slots: requests that it runs at a time */
     bool draining;
     int64_t cold_until_ms; /* 0: warm */
-    int64_t born_at; /* start of its process, wall-clock ms; 0: unknown */
+    int64_t started_at; /* start of its process, wall-clock ms; 0: unknown */
 };
 
 /* What this process has seen of a backend server; see sas/traffic.h. */
@@ -57,20 +57,21 @@
     int reported_running;
     int reported_waiting;
     int in_flight_at_report;
-    int64_t reported_at;      /* 0: never */
-    int64_t unanswered_since; /* no answer since then; 0: nothing sent since */
-    int timeouts;             /* in a row */
-    int slow_runs;            /* in a row */
-    int64_t queued_since;     /* queue reported since then; 0: it is short */
-    int64_t brief_until;      /* only a short queue is allowed until then */
-    int failures;             /* of connections, in a row */
-    bool tripped;             /* ejected, or half-open after shunned_until */
-    bool was_down;            /* ejected as it refused connections */
-    int64_t grey_until;       /* grey failure: fails part of its requests */
-    int64_t shunned_until;    /* end of the ejection, while tripped */
-    int64_t hold_ms;          /* length of the last ejection */
-    int64_t warned_until;     /* ejected on another entry VM's report */
-    int64_t well_at;          /* last answer within the usual time */
+    int64_t reported_at;     /* 0: never */
+    int64_t no_answer_since; /* no answer since then; 0: nothing sent since */
+    int timeouts;            /* in a row */
+    int slow_runs;           /* in a row */
+    /* queue reported since then; 0: it is short */
+    int64_t queue_standing_since;
+    int64_t short_queue_until;  /* only a short queue is allowed until then */
+    int failures;               /* of connections, in a row */
+    bool ejected;               /* ejected, or half-open after ejected_until */
+    bool refused_connections;   /* ejected as it refused connections */
+    int64_t grey_until;         /* grey failure: fails part of its requests */
+    int64_t ejected_until;      /* end of the ejection, while ejected */
+    int64_t ejection_ms;        /* length of the last ejection */
+    int64_t peer_ejected_until; /* ejected on another entry VM's report */
+    int64_t healthy_at;         /* last answer within the usual time */
 };
 
 struct sas_fleet_server {
@@ -90,9 +91,10 @@
     int max_connections; /* that a server accepts, from all entry VMs */
     double cold_per_s;   /* rate that a cold server can handle; 0: no limit */
     int64_t cold_ms;     /* how long a server is cold after its start */
-    double goal_ms;      /* longest latency objective of its routes; 0: none */
-    struct sas_pace pace; /* service time over all its routes */
-    GArray *servers;      /* int, table slots of its present servers */
+    double objective_ms; /* longest latency objective of its routes; 0: none */
+    /* service time over all its routes */
+    struct sas_service_time service_time;
+    GArray *servers; /* int, table slots of its present servers */
 };
 
 /* Whether a request may run more than once. */
@@ -114,13 +116,13 @@
     enum sas_route_kind kind;
     int64_t timeout_ms; /* 0: only the caller's deadline counts */
     int64_t target_latency_ms;
-    int priority; /* 0 is the highest */
-    bool urgent;  /* high priority: another route has a lower one; set by
-                     ApplyConfig */
+    int priority;       /* 0 is the highest */
+    bool high_priority; /* high priority: another route has a lower one; set by
+                           ApplyConfig */
     int max_attempts;
     bool sticky;
-    GArray *parts;  /* struct sas_route_part, at least one */
-    uint64_t homes; /* allowed regions, one bit each; 0: any */
+    GArray *parts;            /* struct sas_route_part, at least one */
+    uint64_t allowed_regions; /* allowed regions, one bit each; 0: any */
 };
 
 struct sas_caller_limits {
@@ -155,7 +157,7 @@
     void (*on_config)(struct sas_fleet_listener *listener,
                       const struct sas_fleet_config *config);
     /* The zone is no longer evacuated. */
-    void (*on_reopened)(struct sas_fleet_listener *listener, int zone);
+    void (*on_zone_restored)(struct sas_fleet_listener *listener, int zone);
 };
 
 /* Creation and listeners. */
@@ -177,8 +179,8 @@
                                         int zone);
 
 /* Changes. PutServer returns the slot, -1 for an unknown zone. Another
- * born_at, address, service or zone under the same id makes a new server with
- * a new generation. RemoveServer: false if there is no such server.
+ * started_at, address, service or zone under the same id makes a new server
+ * with a new generation. RemoveServer: false if there is no such server.
  * SetEvacuated: whether that is a change. */
 int SasFleet_PutServer(struct sas_fleet *fleet,
                        const struct sas_server_facts *facts);
@@ -229,6 +231,6 @@
 
 /* Whether the server may get new requests: present, not draining or withdrawn,
  * its zone not evacuated. */
-bool SasFleet_IsOpen(const struct sas_fleet *fleet, int slot);
+bool SasFleet_AcceptsRequests(const struct sas_fleet *fleet, int slot);
 
 #endif
--- a/packages/core/include/sas/limits.h
+++ b/packages/core/include/sas/limits.h
@@ -18,30 +18,32 @@
  * server's connections aren't reused for NO_REUSE_MS. */
 #define SasUpstream_CONNECT_TIMEOUT_MS 1000
 #define SasUpstream_PROBE_TIMEOUT_MS 1000
-#define SasUpstream_IDLE_LIMIT_MS 30000 /* then an idle one is closed */
+#define SasUpstream_IDLE_TIMEOUT_MS 30000 /* then an idle one is closed */
 #define SasUpstream_STALL_MS 1000
-#define SasUpstream_SWEEP_MS 100 /* interval of the stall and idle checks */
+/* interval of the stall and idle checks */
+#define SasUpstream_CHECK_INTERVAL_MS 100
 #define SasUpstream_NO_REUSE_MS 600000
 
 /* Steering. */
-#define SasSteer_SPILL_AFTER_MS 50 /* queue time in the home region */
-#define SasSteer_DEFAULT_PLACEMENT "owned-first" /* see sas/place.h */
-#define SasSteer_FIRST_ANSWER_BYTES 16384 /* estimate before any answer */
+#define SasRouter_SPILL_AFTER_MS 50 /* queue time in the home region */
+#define SasRouter_DEFAULT_PLACEMENT "owned-first" /* see sas/placement.h */
+#define SasRouter_FIRST_ANSWER_BYTES 16384 /* estimate before any answer */
 
-/* Requests. HOLD_BYTES of an answer are buffered before any byte goes to the
- * caller, so that an answer that breaks off early can be retried. Above
- * PENDING_HIGH bytes that the caller hasn't read, reading from the backend
- * server pauses, until no more than PENDING_LOW are left. */
+/* Requests. FIRST_BUFFER_BYTES of an answer are buffered before any byte goes
+ * to the caller, so that an answer that breaks off early can be retried. Above
+ * HIGH_WATERMARK_BYTES bytes that the caller hasn't read, reading from the
+ * backend server pauses, until no more than LOW_WATERMARK_BYTES are left. */
 #define SasForward_MAX_DEADLINE_MS 300000
 #define SasForward_MAX_ATTEMPTS 3
-#define SasForward_HOLD_BYTES 65536
-#define SasForward_PENDING_HIGH 262144
-#define SasForward_PENDING_LOW 65536
+#define SasForward_FIRST_BUFFER_BYTES 65536
+#define SasForward_HIGH_WATERMARK_BYTES 262144
+#define SasForward_LOW_WATERMARK_BYTES 65536
 #define SasForward_MAX_WAITING 512 /* queued requests of a service */
 #define SasCaller_MAX_CONNECTIONS 4096
-#define SasCaller_SWEEP_MS 50 /* interval of the check for closed callers */
-#define SasCaller_READ_TIMEOUT_MS 30000   /* without a byte */
-#define SasCaller_ARRIVAL_LIMIT_MS 300000 /* to receive a whole request */
-#define SasCaller_MAX_HEADER_BYTES 32768  /* path and header fields */
+/* interval of the check for closed callers */
+#define SasCaller_CHECK_INTERVAL_MS 50
+#define SasCaller_READ_TIMEOUT_MS 30000     /* without a byte */
+#define SasCaller_REQUEST_TIMEOUT_MS 300000 /* to receive a whole request */
+#define SasCaller_MAX_HEADER_BYTES 32768    /* path and header fields */
 
 #endif
--- a/packages/core/include/sas/model.h
+++ b/packages/core/include/sas/model.h
@@ -3,8 +3,8 @@
  *
  * Rows refer to each other by their index in a table (a handle); SasModel_NONE
  * stands for "none". In standalone mode the settings package fills the tables
- * once. In platform mode sas/snapshot.h builds them from the fleet and keeps
- * them up to date.
+ * once. In platform mode sas/fleet_model.h builds them from the fleet and
+ * keeps them up to date.
  */
 #ifndef SAS_MODEL_H
 #define SAS_MODEL_H
@@ -120,7 +120,7 @@
 
 /* True when requests for this path of the service must not be executed
  * twice. */
-bool SasModel_IsOnceRoute(const struct sas_model *model, int service,
-                          const char *path);
+bool SasModel_IsAtMostOnceRoute(const struct sas_model *model, int service,
+                                const char *path);
 
 #endif
--- a/packages/core/include/sas/owner.h
+++ b/packages/core/include/sas/owner.h
@@ -16,8 +16,8 @@
  *
  * To keep large bodies off the links between failure domains, a query can
  * prefer the caller's zone, so that an object has an owner in each zone of its
- * region, and can set the part of the objects that stays (sas/keep.h). Each
- * further owner has to load the object into its cache once more.
+ * region, and can set the part of the objects that stays (sas/zone_share.h).
+ * Each further owner has to load the object into its cache once more.
  */
 #ifndef SAS_OWNER_H
 #define SAS_OWNER_H
@@ -28,19 +28,21 @@
 
 struct sas_owner_query {
     int service;
-    int zone;       /* of the caller */
-    bool near;      /* rank the caller's zone before the rest of its region */
-    double keep;    /* part of the objects that stay in the caller's region;
-                       0: by its execution slots */
-    uint64_t key;   /* hash of the object */
-    uint64_t homes; /* allowed regions, one bit each; 0: any */
-    bool ordered;   /* operators steer it to to_region, if that has servers */
-    int to_region;
+    int zone; /* of the caller */
+    /* rank the caller's zone before the rest of its region */
+    bool prefer_zone;
+    double zone_share; /* part of the objects that stay in the caller's region;
+                          0: by its execution slots */
+    uint64_t key;      /* hash of the object */
+    uint64_t allowed_regions; /* allowed regions, one bit each; 0: any */
+    bool steered; /* operators steer it to steered_region, if that has servers
+                   */
+    int steered_region;
 };
 
 /* Fills slots with the object's servers, the owner first, and returns their
  * number: at most max and SasOwner_MAX_CANDIDATES. Only servers in allowed
- * regions that are open (SasFleet_IsOpen) and not ejected. */
+ * regions that are open (SasFleet_AcceptsRequests) and not ejected. */
 int SasOwner_Rank(const struct sas_fleet *fleet,
                   const struct sas_owner_query *query, int64_t now_ms,
                   int *slots, int max);
--- a/packages/core/include/sas/steering.h
+++ b/packages/core/include/sas/steering.h
@@ -2,10 +2,11 @@
  * request goes to, within the caps of the shifts, and which servers and entry
  * VMs are leaving.
  *
- * The sheet is resolved against a model built from the fleet (sas/snapshot.h);
- * sas/plan.h computes the shares in force. A share is a share of a service's
- * objects, selected by hash: all requests for such an object go to the other
- * region, so that its caches stay warm for them and all entry VMs agree.
+ * The sheet is resolved against a model built from the fleet
+ * (sas/fleet_model.h); sas/plan.h computes the shares in force. A share is a
+ * share of a service's objects, selected by hash: all requests for such an
+ * object go to the other region, so that its caches stay warm for them and all
+ * entry VMs agree.
  *
  * A cap is divided evenly among the entry VMs of the home region; the first
  * ones get one unit more when it does not divide evenly. A request above the
@@ -32,12 +33,12 @@
 struct sas_steering *SasSteering_New(struct sas_fleet *fleet);
 void SasSteering_Free(struct sas_steering *steering);
 
-/* The model that sheets are resolved against; sas/snapshot.h updates it. */
+/* The model that sheets are resolved against; sas/fleet_model.h updates it. */
 struct sas_model *SasSteering_GetModel(struct sas_steering *steering);
 
 /* Makes an accepted version the current one and keeps a reference to it. */
-void SasSteering_TakeConfig(struct sas_steering *steering,
-                            struct sas_config *config);
+void SasSteering_SetConfig(struct sas_steering *steering,
+                           struct sas_config *config);
 
 /* To be called about once a second. down[region]: none of the region's entry
  * VMs is live; NULL: no region is down. Returns true when a share in force has
@@ -56,12 +57,12 @@
 
 struct sas_steering_query {
     int service;
-    int home;      /* region of the caller */
-    uint64_t key;  /* hash of the object's key */
-    double bytes;  /* of the request */
-    int vms;       /* entry VMs of the home region that share the cap */
-    int rank;      /* index of this one among them, from 0 */
-    bool newcomer; /* joining: the others still use its part of the cap */
+    int home;     /* region of the caller */
+    uint64_t key; /* hash of the object's key */
+    double bytes; /* of the request */
+    int vms;      /* entry VMs of the home region that share the cap */
+    int rank;     /* index of this one among them, from 0 */
+    bool joining; /* joining: the others still use its part of the cap */
 };
 
 /* The region of an object by the shares in force, regardless of caps; home
@@ -78,14 +79,14 @@
 };
 
 /* Returns true when the request must go to another region, grant->to. It is
- * then counted under the cap until SasSteering_End, whose bytes are those of
- * the answer. */
-bool SasSteering_Take(struct sas_steering *steering,
-                      const struct sas_steering_query *query, int64_t now_ms,
-                      struct sas_steering_grant *grant);
-void SasSteering_End(struct sas_steering *steering,
-                     struct sas_steering_grant *grant, double bytes,
-                     int64_t now_ms);
+ * then counted under the cap until SasSteering_Release, whose bytes are those
+ * of the answer. */
+bool SasSteering_Acquire(struct sas_steering *steering,
+                         const struct sas_steering_query *query,
+                         int64_t now_ms, struct sas_steering_grant *grant);
+void SasSteering_Release(struct sas_steering *steering,
+                         struct sas_steering_grant *grant, double bytes,
+                         int64_t now_ms);
 
 /* For status output. Headroom is the free part of the execution slots, 0 to
  * 1; 0 when the region has no open server. */
--- a/packages/core/src/admit.c
+++ b/packages/core/src/admission.c
@@ -1,4 +1,4 @@
-#include "sas/admit.h"
+#include "sas/admission.h"
 
 #include "sas/traffic.h"
 
@@ -22,26 +22,30 @@
  */
 static double
 get_deadline_wait(const struct sas_fleet *fleet,
-                  const struct sas_admit_query *query, int service,
+                  const struct sas_admission_query *query, int service,
                   double service_ms)
 {
-    if (!SasPace_IsLearned(query->pace)) {
-        service_ms = MIN(service_ms, SasTraffic_GetPaceMs(fleet, service));
+    if (!SasServiceTime_IsLearned(query->service_time)) {
+        service_ms =
+            MIN(service_ms, SasTraffic_GetServiceTimeMs(fleet, service));
     }
-    return SasAdmit_SAFETY * query->left_ms - service_ms;
+    return SasAdmission_DEADLINE_SHARE * query->left_ms - service_ms;
 }
 
 /* The longest allowed wait for a request with this service time. */
 static double
 get_allowed_wait(const struct sas_fleet *fleet,
-                 const struct sas_admit_query *query,
+                 const struct sas_admission_query *query,
                  const struct sas_fleet_server *server, double service_ms,
                  int64_t now_ms)
 {
-    double least = SasAdmit_LEAST_WAIT * SasPace_Get(query->pace, true);
-    double allowed = MAX(query->goal_ms - service_ms, least);
-    if (query->in_doubt || now_ms < server->traffic.brief_until) {
-        allowed *= query->urgent ? SasAdmit_BRIEF_URGENT : SasAdmit_BRIEF;
+    double least =
+        SasAdmission_MIN_WAIT * SasServiceTime_Get(query->service_time, true);
+    double allowed = MAX(query->objective_ms - service_ms, least);
+    if (query->rows_stale || now_ms < server->traffic.short_queue_until) {
+        allowed *= query->high_priority
+                       ? SasAdmission_SHORT_QUEUE_HIGH_PRIORITY
+                       : SasAdmission_SHORT_QUEUE;
     }
     return MIN(allowed,
                get_deadline_wait(fleet, query, server->service, service_ms));
@@ -49,39 +53,40 @@
 
 /* Whether a request of this entry VM that caches the object is in flight. */
 static bool
-is_warming(const struct sas_fleet *fleet, const struct sas_admit_query *query,
-           int slot, int64_t now_ms)
+is_warming(const struct sas_fleet *fleet,
+           const struct sas_admission_query *query, int slot, int64_t now_ms)
 {
     if (query->objects == NULL) {
         return false;
     }
-    int64_t sent_at =
-        SasObjects_GetSentAt(query->objects, SasFleet_At(fleet, slot)->service,
-                             query->key, SasFleet_GetRef(fleet, slot));
-    double limit_ms = SasAdmit_LEARNING * SasPace_Get(query->pace, false);
+    int64_t sent_at = SasCachedObjects_GetLoadingSince(
+        query->objects, SasFleet_At(fleet, slot)->service, query->key,
+        SasFleet_GetRef(fleet, slot));
+    double limit_ms =
+        SasAdmission_WARMUP * SasServiceTime_Get(query->service_time, false);
     return sent_at > 0 && (double)(now_ms - sent_at) < limit_ms;
 }
 
 /* Only the owner is expected to have objects cached by other entry VMs'
  * requests. */
 static double
-get_service_ms(const struct sas_admit_query *query, int slot, bool cached)
+get_service_ms(const struct sas_admission_query *query, int slot, bool cached)
 {
     return !cached && slot == query->slots[0]
-               ? SasPace_GetUnseen(query->pace)
-               : SasPace_Get(query->pace, cached);
+               ? SasServiceTime_GetUnseen(query->service_time)
+               : SasServiceTime_Get(query->service_time, cached);
 }
 
 static struct candidate
-evaluate(const struct sas_fleet *fleet, const struct sas_admit_query *query,
-         int slot, int64_t now_ms)
+evaluate(const struct sas_fleet *fleet,
+         const struct sas_admission_query *query, int slot, int64_t now_ms)
 {
     const struct sas_fleet_server *server = SasFleet_At(fleet, slot);
     struct candidate candidate = {.slot = slot};
     candidate.cached =
         query->objects != NULL &&
-        SasObjects_IsKnown(query->objects, server->service, query->key,
-                           SasFleet_GetRef(fleet, slot));
+        SasCachedObjects_IsCached(query->objects, server->service, query->key,
+                                  SasFleet_GetRef(fleet, slot));
     candidate.warming = is_warming(fleet, query, slot, now_ms);
     candidate.wait_ms = SasTraffic_EstimateWaitMs(fleet, slot, now_ms);
     candidate.service_ms = get_service_ms(query, slot, candidate.cached);
@@ -135,8 +140,9 @@
                     const struct candidate *candidates, int64_t now_ms)
 {
     bool uncached = !candidates[0].cached && !candidates[0].warming;
-    return uncached && SasTraffic_HasRoom(fleet, candidates[0].slot,
-                                          SasAdmit_SPARE_SLOTS, now_ms)
+    return uncached &&
+                   SasTraffic_HasFreeSlots(fleet, candidates[0].slot,
+                                           SasAdmission_SPARE_SLOTS, now_ms)
                ? &candidates[0]
                : NULL;
 }
@@ -150,8 +156,8 @@
         const struct candidate *candidate = &candidates[i];
         if (!candidate->cached && !candidate->warming &&
             is_in_time(candidate) &&
-            SasTraffic_HasRoom(fleet, candidate->slot, SasAdmit_SPARE_SLOTS,
-                               now_ms)) {
+            SasTraffic_HasFreeSlots(fleet, candidate->slot,
+                                    SasAdmission_SPARE_SLOTS, now_ms)) {
             return candidate;
         }
     }
@@ -174,13 +180,13 @@
     return (int64_t)CLAMP(soonest, MIN_RETRY_MS, MAX_RETRY_MS);
 }
 
-struct sas_admit_verdict
-SasAdmit_Judge(const struct sas_fleet *fleet,
-               const struct sas_admit_query *query, int64_t now_ms)
+struct sas_admission_decision
+SasAdmission_Decide(const struct sas_fleet *fleet,
+                    const struct sas_admission_query *query, int64_t now_ms)
 {
-    struct sas_admit_verdict decision = {.slot = SasModel_NONE};
-    struct candidate candidates[SasAdmit_MAX_OWNERS] = {0};
-    int count = MIN(query->count, SasAdmit_MAX_OWNERS);
+    struct sas_admission_decision decision = {.slot = SasModel_NONE};
+    struct candidate candidates[SasAdmission_MAX_OWNERS] = {0};
+    int count = MIN(query->count, SasAdmission_MAX_OWNERS);
     if (count < 1) {
         return decision;
     }
@@ -201,8 +207,8 @@
         return decision;
     }
     decision.slot = best->slot;
-    decision.known = best->cached;
+    decision.cached = best->cached;
     decision.wait_ms = best->wait_ms;
-    decision.work_ms = best->service_ms;
+    decision.service_ms = best->service_ms;
     return decision;
 }
--- a/packages/core/src/config.c
+++ b/packages/core/src/config.c
@@ -15,12 +15,12 @@
 #define WRITE_FLAGS (JSON_COMPACT | JSON_REAL_PRECISION(15))
 #define READ_FLAGS JSON_REJECT_DUPLICATES
 
-static json_t *encode_row(const struct sas_intention *row,
+static json_t *encode_row(const struct sas_sheet_row *row,
                           const struct sas_model *model);
 static json_t *encode_rows(const struct sas_config *config,
                            const struct sas_model *model);
 static int decode_row(json_t *json, const struct sas_model *model,
-                      struct sas_intention *row, struct sas_error *error);
+                      struct sas_sheet_row *row, struct sas_error *error);
 static struct sas_config *decode_config(json_t *json,
                                         const struct sas_model *model,
                                         struct sas_error *error);
@@ -47,7 +47,7 @@
               struct sas_sheet *sheet, const char *sheet_text,
               struct sas_error *error)
 {
-    if (version < 1 || version > SasConfig_MAX_NUMBER || accepted_ms < 0 ||
+    if (version < 1 || version > SasConfig_MAX_VERSION || accepted_ms < 0 ||
         accepted_ms > SasSheet_MAX_AT_MS) {
         SasError_Set(error, SAS_EINVAL, STEP, "",
                      "version %" PRId64 " or its time is out of range",
@@ -63,7 +63,7 @@
         return NULL;
     }
     struct sas_config *config = g_atomic_rc_box_new0(struct sas_config);
-    config->number = version;
+    config->version = version;
     g_strlcpy(config->operation, operation, SasConfig_NAME_SIZE);
     g_strlcpy(config->operator_name, operator_name, SasConfig_NAME_SIZE);
     config->accepted_ms = accepted_ms;
@@ -98,11 +98,11 @@
 /* Fills *sheet with base's rows and one more, after those of the same time. */
 static void
 insert_row(struct sas_sheet *sheet, const struct sas_sheet *base,
-           const struct sas_intention *row)
+           const struct sas_sheet_row *row)
 {
     int next = 0;
     sheet->row_count = base->row_count + 1;
-    sheet->rows = g_new(struct sas_intention, sheet->row_count);
+    sheet->rows = g_new(struct sas_sheet_row, sheet->row_count);
     for (int i = 0; i < base->row_count; i++) {
         if (next == i && base->rows[i].at_ms > row->at_ms) {
             sheet->rows[next++] = *row;
@@ -187,7 +187,7 @@
 encode_head(const struct sas_config *config)
 {
     return json_pack("{s:I,s:s,s:s,s:I}", "version",
-                     (json_int_t)config->number, "operation",
+                     (json_int_t)config->version, "operation",
                      config->operation, "operator", config->operator_name,
                      "accepted_ms", (json_int_t)config->accepted_ms);
 }
@@ -238,7 +238,7 @@
     json_auto_t *old_lines = split_lines(base->sheet_text);
     json_auto_t *new_lines = split_lines(config->sheet_text);
     json_auto_t *json = encode_head(config);
-    json_object_set_new(json, "base", json_integer(base->number));
+    json_object_set_new(json, "base", json_integer(base->version));
     json_object_set_new(json, "base_digest", json_string(base_digest));
     json_object_set_new(json, "digest", json_string(digest));
     json_object_set_new(json, "rows", diff(old_rows, new_rows));
@@ -262,11 +262,11 @@
         return -1;
     }
     format_digest(actual, SasConfig_GetDigest(base, model));
-    if (version != base->number || strcmp(base_digest, actual) != 0) {
+    if (version != base->version || strcmp(base_digest, actual) != 0) {
         SasError_Set(error, SAS_ECONFLICT, DELTA_STEP, "",
                      "base mismatch (version or digest): delta from version "
                      "%" PRId64 ", applied to version %" PRId64,
-                     (int64_t)version, base->number);
+                     (int64_t)version, base->version);
         return -1;
     }
     json_object_del(json, "base");
@@ -328,7 +328,7 @@
 /* Encoding and decoding of rows. */
 
 static const char *
-get_drain_name(const struct sas_intention *row, const struct sas_model *model)
+get_drain_name(const struct sas_sheet_row *row, const struct sas_model *model)
 {
     switch (row->drain_kind) {
     case SAS_DRAIN_BACKEND:
@@ -342,7 +342,7 @@
 }
 
 static json_t *
-encode_row(const struct sas_intention *row, const struct sas_model *model)
+encode_row(const struct sas_sheet_row *row, const struct sas_model *model)
 {
     bool shift = row->drain_kind == SAS_DRAIN_NONE;
     return json_pack(
@@ -377,7 +377,7 @@
 };
 
 static int
-unpack_row(json_t *json, struct sas_intention *row, struct row_names *names)
+unpack_row(json_t *json, struct sas_sheet_row *row, struct row_names *names)
 {
     json_int_t at_ms = 0;
     json_int_t ramp_s = 0;
@@ -404,7 +404,7 @@
 /* Checks and rounds share, headroom and cap. A cap needs a unit and a unit
  * needs a cap. */
 static int
-check_numbers(struct sas_intention *row)
+check_numbers(struct sas_sheet_row *row)
 {
     if (!(row->share >= 0 && row->share <= 1) ||
         !(row->headroom >= 0 && row->headroom <= 1) ||
@@ -418,7 +418,7 @@
 }
 
 static int
-resolve_drain(struct sas_intention *row, const struct row_names *names,
+resolve_drain(struct sas_sheet_row *row, const struct row_names *names,
               const struct sas_model *model)
 {
     int backend = SasModel_FindBackend(model, names->drain);
@@ -438,7 +438,7 @@
 }
 
 static int
-resolve_shift(struct sas_intention *row, const struct row_names *names,
+resolve_shift(struct sas_sheet_row *row, const struct row_names *names,
               const struct sas_model *model)
 {
     row->service = SasModel_FindService(model, names->service);
@@ -454,7 +454,7 @@
 
 static int
 decode_row(json_t *json, const struct sas_model *model,
-           struct sas_intention *row, struct sas_error *error)
+           struct sas_sheet_row *row, struct sas_error *error)
 {
     struct row_names names;
     memset(row, 0, sizeof(*row));
@@ -493,7 +493,7 @@
                      "rows is not an array or has too many items");
         return -1;
     }
-    sheet->rows = g_new0(struct sas_intention, count + 1);
+    sheet->rows = g_new0(struct sas_sheet_row, count + 1);
     sheet->row_count = (int)count;
     for (size_t i = 0; i < count; i++) {
         if (decode_row(json_array_get(json, i), model, &sheet->rows[i],
--- a/packages/core/src/fleet.c
+++ b/packages/core/src/fleet.c
@@ -196,7 +196,8 @@
 is_same_start(const struct sas_server_facts *a,
               const struct sas_server_facts *b)
 {
-    return a->born_at == b->born_at && a->address.port == b->address.port &&
+    return a->started_at == b->started_at &&
+           a->address.port == b->address.port &&
            strcmp(a->address.ip, b->address.ip) == 0 &&
            strcmp(a->service, b->service) == 0 &&
            strcmp(a->zone, b->zone) == 0;
@@ -267,8 +268,8 @@
     for (guint i = 0; changed && !evacuated && i < fleet->listeners->len;
          i++) {
         struct sas_fleet_listener *listener = fleet->listeners->pdata[i];
-        if (listener->on_reopened != NULL) {
-            listener->on_reopened(listener, zone);
+        if (listener->on_zone_restored != NULL) {
+            listener->on_zone_restored(listener, zone);
         }
     }
     return changed;
@@ -284,7 +285,7 @@
     }
     for (guint i = 0; i < config->routes->len; i++) {
         struct sas_route *route = config->routes->pdata[i];
-        route->urgent = route->priority < lowest;
+        route->high_priority = route->priority < lowest;
     }
 }
 
@@ -300,9 +301,10 @@
             struct sas_fleet_service *service = SasFleet_GetService(
                 fleet, g_array_index(route->parts, struct sas_route_part, part)
                            .service);
-            if ((double)route->target_latency_ms > service->goal_ms) {
-                service->goal_ms = (double)route->target_latency_ms;
-                SasPace_SetGoal(&service->pace, service->goal_ms);
+            if ((double)route->target_latency_ms > service->objective_ms) {
+                service->objective_ms = (double)route->target_latency_ms;
+                SasServiceTime_SetObjective(&service->service_time,
+                                            service->objective_ms);
             }
         }
     }
@@ -481,7 +483,7 @@
     struct sas_fleet_service *row = g_new0(struct sas_fleet_service, 1);
     g_strlcpy(row->name, name, sizeof(row->name));
     row->servers = g_array_new(FALSE, FALSE, sizeof(int));
-    SasPace_Init(&row->pace, 0);
+    SasServiceTime_Init(&row->service_time, 0);
     g_ptr_array_add(fleet->services, row);
     service = (int)fleet->services->len - 1;
     g_hash_table_insert(fleet->service_by_name, row->name,
@@ -562,7 +564,7 @@
 }
 
 bool
-SasFleet_IsOpen(const struct sas_fleet *fleet, int slot)
+SasFleet_AcceptsRequests(const struct sas_fleet *fleet, int slot)
 {
     const struct sas_fleet_server *server = SasFleet_At(fleet, slot);
     return server != NULL && !server->facts.draining && !server->withdrawn &&
--- a/packages/core/src/steering.c
+++ b/packages/core/src/steering.c
@@ -5,7 +5,7 @@
 
 #include <xxhash.h>
 
-#include "sas/snapshot.h"
+#include "sas/fleet_model.h"
 #include "sas/traffic.h"
 
 /* Region and server are chosen by hashes of the same keys. Another seed keeps
@@ -37,7 +37,7 @@
 {
     struct sas_steering *steering = g_new0(struct sas_steering, 1);
     steering->fleet = fleet;
-    SasSnapshot_Init(&steering->model, fleet);
+    SasFleetModel_Init(&steering->model, fleet);
     steering->usages = g_array_new(FALSE, TRUE, sizeof(struct usage));
     return steering;
 }
@@ -68,8 +68,7 @@
 }
 
 void
-SasSteering_TakeConfig(struct sas_steering *steering,
-                       struct sas_config *config)
+SasSteering_SetConfig(struct sas_steering *steering, struct sas_config *config)
 {
     SasConfig_Unref(steering->config);
     steering->config = SasConfig_Ref(config);
@@ -107,7 +106,7 @@
         const struct sas_fleet_server *server =
             SasFleet_At(steering->fleet, fleet_slot);
         if (SasFleet_GetServerRegion(steering->fleet, fleet_slot) != region ||
-            !SasFleet_IsOpen(steering->fleet, fleet_slot)) {
+            !SasFleet_AcceptsRequests(steering->fleet, fleet_slot)) {
             continue;
         }
         capacity.slots += server->facts.slots;
@@ -160,7 +159,7 @@
     int fleet_slots = SasFleet_CountSlots(steering->fleet);
     g_autofree bool *withdrawn = g_new0(bool, fleet_slots + 1);
     for (int i = 0; i < plan->drain_count; i++) {
-        const struct sas_intention *row = &plan->drains[i];
+        const struct sas_sheet_row *row = &plan->drains[i];
         if (row->drain_kind != SAS_DRAIN_BACKEND ||
             !SasPlan_IsDraining(plan, row->drain_kind, row->drain_target)) {
             continue;
@@ -196,7 +195,7 @@
     for (int i = 0; i < services * regions; i++) {
         table[i] = make_signal(steering, i / regions, i % regions, now_ms);
     }
-    struct sas_plan_signals signals = {.table = table, .gone = down};
+    struct sas_plan_signals signals = {.table = table, .down = down};
     bool changed = SasPlan_Advance(&steering->plan, wall_ms, now_ms, &signals);
     withdraw_servers(steering);
     return changed;
@@ -247,7 +246,7 @@
 fits_cap(struct usage *usage, const struct sas_shift *shift,
          const struct sas_steering_query *query, int64_t now_ms)
 {
-    if (query->newcomer && shift->cap_unit != SAS_CAP_NONE) {
+    if (query->joining && shift->cap_unit != SAS_CAP_NONE) {
         return false;
     }
     switch (shift->cap_unit) {
@@ -294,9 +293,9 @@
 }
 
 bool
-SasSteering_Take(struct sas_steering *steering,
-                 const struct sas_steering_query *query, int64_t now_ms,
-                 struct sas_steering_grant *grant)
+SasSteering_Acquire(struct sas_steering *steering,
+                    const struct sas_steering_query *query, int64_t now_ms,
+                    struct sas_steering_grant *grant)
 {
     memset(grant, 0, sizeof(*grant));
     int region = SasSteering_PickRegion(steering, query->service, query->home,
@@ -322,8 +321,9 @@
 }
 
 void
-SasSteering_End(struct sas_steering *steering,
-                struct sas_steering_grant *grant, double bytes, int64_t now_ms)
+SasSteering_Release(struct sas_steering *steering,
+                    struct sas_steering_grant *grant, double bytes,
+                    int64_t now_ms)
 {
     if (!grant->steered) {
         return;
--- a/packages/core/tests/budget_shim.c
+++ b/packages/core/tests/budget_shim.c
@@ -9,12 +9,12 @@
 #include "sas/quarantine.h"
 
 struct sas_budget *SasShim_NewBudget(int kind, int member_count, int own_id,
-                                     uint32_t incarnation, int64_t life_ms,
+                                     uint32_t incarnation, int64_t loan_ms,
                                      int64_t quantum, const int64_t *floors,
                                      int64_t epoch, int64_t now_ms);
 uint64_t SasShim_FindRenewal(struct sas_budget *b, int64_t now_ms);
 uint64_t SasShim_FindSurplus(struct sas_budget *b, int64_t now_ms);
-int SasShim_GetLoanSeat(const struct sas_budget *b, uint64_t id);
+int SasShim_GetLoanMember(const struct sas_budget *b, uint64_t id);
 int64_t SasShim_GetLoanGranted(const struct sas_budget *b, uint64_t id);
 int64_t SasShim_PeekAllowance(const struct sas_budget *b, int64_t now_ms);
 int64_t SasShim_PeekAnnounced(const struct sas_budget *b, int64_t now_ms);
@@ -28,13 +28,13 @@
 char *SasShim_EncodeClaim(const struct sas_claim *c);
 struct sas_quarantine *SasShim_NewQuarantine(void);
 void SasShim_Suspect(struct sas_quarantine *q, uint64_t fingerprint,
-                     uint64_t crash, bool alone, int64_t now_ms);
+                     uint64_t crash, bool isolated, int64_t now_ms);
 void SasShim_Clear(struct sas_quarantine *q, uint64_t fingerprint,
                    int64_t now_ms);
 int SasShim_Check(struct sas_quarantine *q, uint64_t fingerprint,
                   int64_t now_ms);
-bool SasShim_BeginTrial(struct sas_quarantine *q, uint64_t fingerprint,
-                        int64_t lasts_ms, int64_t now_ms);
+bool SasShim_BeginIsolatedRun(struct sas_quarantine *q, uint64_t fingerprint,
+                              int64_t max_run_ms, int64_t now_ms);
 void SasShim_MergeAll(struct sas_quarantine *to, struct sas_quarantine *from,
                       int64_t now_ms);
 char *SasShim_PrintQuarantine(struct sas_quarantine *q, int64_t now_ms);
@@ -42,15 +42,15 @@
 
 struct sas_budget *
 SasShim_NewBudget(int kind, int member_count, int own_id, uint32_t incarnation,
-                  int64_t life_ms, int64_t quantum, const int64_t *floors,
+                  int64_t loan_ms, int64_t quantum, const int64_t *floors,
                   int64_t epoch, int64_t now_ms)
 {
     struct sas_budget_settings settings = {
         .kind = kind == 0 ? SAS_BUDGET_CONCURRENT : SAS_BUDGET_RATE,
-        .seats = member_count,
-        .own_seat = own_id,
+        .members = member_count,
+        .own_id = own_id,
         .incarnation = incarnation,
-        .life_ms = life_ms,
+        .loan_ms = loan_ms,
         .quantum = quantum,
     };
     struct sas_budget *b = g_new0(struct sas_budget, 1);
@@ -73,11 +73,11 @@
 }
 
 int
-SasShim_GetLoanSeat(const struct sas_budget *b, uint64_t id)
+SasShim_GetLoanMember(const struct sas_budget *b, uint64_t id)
 {
     for (int i = 0; i < SasBudget_MAX_LOANS; i++) {
         if (b->borrowed[i].id == id) {
-            return b->borrowed[i].seat;
+            return b->borrowed[i].member_id;
         }
     }
     return -1;
@@ -185,10 +185,10 @@
 
 void
 SasShim_Suspect(struct sas_quarantine *q, uint64_t fingerprint, uint64_t crash,
-                bool alone, int64_t now_ms)
+                bool isolated, int64_t now_ms)
 {
     struct sas_fingerprint full = {0, fingerprint};
-    SasQuarantine_Suspect(q, full, crash, alone, now_ms);
+    SasQuarantine_Suspect(q, full, crash, isolated, now_ms);
 }
 
 void
@@ -207,11 +207,11 @@
 }
 
 bool
-SasShim_BeginTrial(struct sas_quarantine *q, uint64_t fingerprint,
-                   int64_t lasts_ms, int64_t now_ms)
+SasShim_BeginIsolatedRun(struct sas_quarantine *q, uint64_t fingerprint,
+                         int64_t max_run_ms, int64_t now_ms)
 {
     struct sas_fingerprint full = {0, fingerprint};
-    return SasQuarantine_BeginTrial(q, full, lasts_ms, now_ms);
+    return SasQuarantine_BeginIsolatedRun(q, full, max_run_ms, now_ms);
 }
 
 void
@@ -233,10 +233,10 @@
     GString *text = g_string_new("");
     for (int i = 0; SasQuarantine_Export(q, i, now_ms, &entry); i++) {
         g_string_append_printf(text, "%d %d %d", (int)entry.fingerprint.low,
-                               (int)entry.left_ms, (int)entry.trial_ms);
+                               (int)entry.left_ms, (int)entry.isolated_ms);
         for (int j = 0; j < entry.crash_count; j++) {
             g_string_append_printf(text, " %d%c%c", (int)entry.crashes[j].id,
-                                   entry.crashes[j].alone ? 'a' : '-',
+                                   entry.crashes[j].isolated ? 'a' : '-',
                                    entry.crashes[j].cleared ? 'c' : '-');
         }
         g_string_append_c(text, '\n');
--- a/packages/core/tests/property_shim.c
+++ b/packages/core/tests/property_shim.c
@@ -14,7 +14,7 @@
 #include "sas/sheet.h"
 #include "steering_fixture.h"
 
-struct sas_config *SasShim_MakeConfig(int64_t number, const char *rows,
+struct sas_config *SasShim_MakeConfig(int64_t version, const char *rows,
                                       int64_t now_ms,
                                       struct sas_sheet_error *error);
 int SasShim_GetRowCount(const struct sas_config *config);
@@ -28,7 +28,7 @@
                                       const char *text, size_t size);
 struct sas_plan *SasShim_MakePlan(void);
 void SasShim_FreePlan(struct sas_plan *plan);
-int SasShim_BuildPlan(struct sas_plan *plan, int64_t number, const char *rows,
+int SasShim_BuildPlan(struct sas_plan *plan, int64_t version, const char *rows,
                       int64_t now_ms);
 void SasShim_Advance(struct sas_plan *plan, int64_t wall_ms,
                      int64_t monotonic_ms, const double *headroom,
@@ -39,7 +39,7 @@
 /* Configurations. */
 
 struct sas_config *
-SasShim_MakeConfig(int64_t number, const char *rows, int64_t now_ms,
+SasShim_MakeConfig(int64_t version, const char *rows, int64_t now_ms,
                    struct sas_sheet_error *error)
 {
     struct sas_sheet sheet;
@@ -48,7 +48,7 @@
                        error) < 0) {
         return NULL;
     }
-    return SasConfig_New(number, "op", "amina", now_ms, &sheet, text, NULL);
+    return SasConfig_New(version, "op", "amina", now_ms, &sheet, text, NULL);
 }
 
 int
@@ -62,15 +62,15 @@
 SasShim_GetRow(const struct sas_config *config, int row, int64_t *at_ms,
                int *numbers, double *share)
 {
-    const struct sas_intention *intention = &config->sheet.rows[row];
-    *at_ms = intention->at_ms;
-    *share = intention->share;
-    numbers[0] = intention->service;
-    numbers[1] = intention->from;
-    numbers[2] = intention->to;
-    numbers[3] = (int)intention->drain_kind;
-    numbers[4] = intention->drain_target;
-    numbers[5] = intention->row;
+    const struct sas_sheet_row *sheet_row = &config->sheet.rows[row];
+    *at_ms = sheet_row->at_ms;
+    *share = sheet_row->share;
+    numbers[0] = sheet_row->service;
+    numbers[1] = sheet_row->from;
+    numbers[2] = sheet_row->to;
+    numbers[3] = (int)sheet_row->drain_kind;
+    numbers[4] = sheet_row->drain_target;
+    numbers[5] = sheet_row->row;
 }
 
 char *
@@ -115,12 +115,12 @@
 }
 
 int
-SasShim_BuildPlan(struct sas_plan *plan, int64_t number, const char *rows,
+SasShim_BuildPlan(struct sas_plan *plan, int64_t version, const char *rows,
                   int64_t now_ms)
 {
     struct sas_sheet_error error;
     struct sas_config *config =
-        SasShim_MakeConfig(number, rows, now_ms, &error);
+        SasShim_MakeConfig(version, rows, now_ms, &error);
     if (config == NULL) {
         return -1;
     }
@@ -165,7 +165,7 @@
 {
     struct sas_server_facts facts = {
         .slots = 3,
-        .born_at = born_at,
+        .started_at = born_at,
         .draining = draining != 0,
     };
     g_strlcpy(facts.id, id, sizeof(facts.id));
@@ -179,18 +179,19 @@
 /* Calls SasOwner_Rank. numbers: service, the caller's zone, prefer zone,
  * steered, steered region. */
 int
-SasShim_Rank(const struct sas_fleet *fleet, const int *numbers, double keep,
-             uint64_t key, uint64_t homes, int *slots)
+SasShim_Rank(const struct sas_fleet *fleet, const int *numbers,
+             double zone_share, uint64_t key, uint64_t allowed_regions,
+             int *slots)
 {
     struct sas_owner_query query = {
         .service = numbers[0],
         .zone = numbers[1],
-        .near = numbers[2] != 0,
-        .ordered = numbers[3] != 0,
-        .to_region = numbers[4],
-        .keep = keep,
+        .prefer_zone = numbers[2] != 0,
+        .steered = numbers[3] != 0,
+        .steered_region = numbers[4],
+        .zone_share = zone_share,
         .key = key,
-        .homes = homes,
+        .allowed_regions = allowed_regions,
     };
     return SasOwner_Rank(fleet, &query, 0, slots, SasOwner_MAX_CANDIDATES);
 }
--- a/packages/core/tests/test_owner.c
+++ b/packages/core/tests/test_owner.c
@@ -128,8 +128,8 @@
         snprintf(id, sizeof(id), "forms-a-%d", i);
         struct sas_fleet_server *server =
             SasFleet_At(fleet, SasFleet_FindServer(fleet, id));
-        server->traffic.tripped = true;
-        server->traffic.shunned_until = 1000;
+        server->traffic.ejected = true;
+        server->traffic.ejected_until = 1000;
     }
     /* It has 3 servers, an equal share is 23 / 3. */
     assert_in_range(count_in_region(fleet, "a", "east"), OBJECTS / 3,
@@ -147,8 +147,8 @@
     add_servers(fleet, "forms", "c", 6);
     for (int i = 0; i < OBJECTS; i++) {
         struct sas_owner_query query = make_query(fleet, "a", i);
-        query.near = true;
-        query.keep = 1;
+        query.prefer_zone = true;
+        query.zone_share = 1;
         int slots[2];
         assert_int_equal(SasOwner_Rank(fleet, &query, 0, slots, 2), 2);
         assert_int_equal(slots[0], SasFleet_FindServer(fleet, "forms-a-0"));
@@ -168,11 +168,11 @@
     struct sas_fleet *fleet = new_fleet();
     add_servers(fleet, "forms", "c", 3);
     struct sas_owner_query query = make_query(fleet, "a", 1);
-    query.homes = 1ULL << SasFleet_FindRegion(fleet, "east");
+    query.allowed_regions = 1ULL << SasFleet_FindRegion(fleet, "east");
     int slots[SasOwner_MAX_CANDIDATES];
     assert_int_equal(
         SasOwner_Rank(fleet, &query, 0, slots, SasOwner_MAX_CANDIDATES), 0);
-    query.homes |= 1ULL << SasFleet_FindRegion(fleet, "north");
+    query.allowed_regions |= 1ULL << SasFleet_FindRegion(fleet, "north");
     assert_int_equal(
         SasOwner_Rank(fleet, &query, 0, slots, SasOwner_MAX_CANDIDATES), 3);
     SasFleet_Free(fleet);
--- a/packages/core/tests/test_steering.c
+++ b/packages/core/tests/test_steering.c
@@ -5,8 +5,8 @@
 #include <stdio.h>
 #include <string.h>
 
+#include "sas/fleet_model.h"
 #include "sas/owner.h"
-#include "sas/snapshot.h"
 #include "sas/steering.h"
 
 #define WALL_MS INT64_C(1800000000000)
@@ -26,7 +26,7 @@
     struct sas_server_facts facts = {
         .address = {"127.0.0.1", 9000},
         .slots = 3,
-        .born_at = 1,
+        .started_at = 1,
     };
     g_strlcpy(facts.id, id, sizeof(facts.id));
     g_strlcpy(facts.service, "desk", sizeof(facts.service));
@@ -49,7 +49,7 @@
     put_server(f, "w2", "b");
     f->desk = SasFleet_FindService(f->fleet, "desk");
     f->steering = SasSteering_New(f->fleet);
-    SasSnapshot_Add(SasSteering_GetModel(f->steering), f->fleet);
+    SasFleetModel_Add(SasSteering_GetModel(f->steering), f->fleet);
     return f;
 }
 
@@ -74,7 +74,7 @@
     struct sas_config *config =
         SasConfig_New(1, "op", "planner", WALL_MS, &sheet, text, &error);
     assert_non_null(config);
-    SasSteering_TakeConfig(f->steering, config);
+    SasSteering_SetConfig(f->steering, config);
     SasSteering_Advance(f->steering, WALL_MS, 1000, NULL);
     return config;
 }
@@ -94,9 +94,9 @@
             .rank = rank,
         };
         struct sas_steering_grant grant;
-        if (SasSteering_Take(f->steering, &query, now_ms, &grant)) {
+        if (SasSteering_Acquire(f->steering, &query, now_ms, &grant)) {
             assert_int_equal(grant.to, f->west);
-            SasSteering_End(f->steering, &grant, 0, now_ms);
+            SasSteering_Release(f->steering, &grant, 0, now_ms);
             assert_false(grant.steered);
             count++;
         }
@@ -148,11 +148,11 @@
     struct sas_config *config =
         accept(f, SasSheet_HEADER "\n+0,desk,east,west,100%,10 req/s,,\n");
     struct sas_steering_query query = {
-        .service = f->desk, .home = f->east, .vms = 1, .newcomer = true};
+        .service = f->desk, .home = f->east, .vms = 1, .joining = true};
     struct sas_steering_grant grant;
-    assert_false(SasSteering_Take(f->steering, &query, 1000, &grant));
-    query.newcomer = false;
-    assert_true(SasSteering_Take(f->steering, &query, 1000, &grant));
+    assert_false(SasSteering_Acquire(f->steering, &query, 1000, &grant));
+    query.joining = false;
+    assert_true(SasSteering_Acquire(f->steering, &query, 1000, &grant));
     SasConfig_Unref(config);
     stop(f);
 }
@@ -167,11 +167,11 @@
     struct sas_steering_query query = {
         .service = f->desk, .home = f->east, .vms = 1};
     struct sas_steering_grant grants[3];
-    assert_true(SasSteering_Take(f->steering, &query, 1000, &grants[0]));
-    assert_true(SasSteering_Take(f->steering, &query, 1000, &grants[1]));
-    assert_false(SasSteering_Take(f->steering, &query, 1000, &grants[2]));
-    SasSteering_End(f->steering, &grants[0], 0, 1001);
-    assert_true(SasSteering_Take(f->steering, &query, 1001, &grants[2]));
+    assert_true(SasSteering_Acquire(f->steering, &query, 1000, &grants[0]));
+    assert_true(SasSteering_Acquire(f->steering, &query, 1000, &grants[1]));
+    assert_false(SasSteering_Acquire(f->steering, &query, 1000, &grants[2]));
+    SasSteering_Release(f->steering, &grants[0], 0, 1001);
+    assert_true(SasSteering_Acquire(f->steering, &query, 1001, &grants[2]));
     SasConfig_Unref(config);
     stop(f);
 }
@@ -184,19 +184,19 @@
 {
     (void)state;
     struct fixture *f = start();
-    SasSnapshot_AddVm(SasSteering_GetModel(f->steering), "vm-1", 0);
-    SasSnapshot_AddVm(SasSteering_GetModel(f->steering), "vm-2", 0);
+    SasFleetModel_AddVm(SasSteering_GetModel(f->steering), "vm-1", 0);
+    SasFleetModel_AddVm(SasSteering_GetModel(f->steering), "vm-2", 0);
     struct sas_config *config =
         accept(f, SasSheet_HEADER "\n+0,,,,,,e1,\n+0,,,,,,vm-2,\n");
     int slot = SasFleet_FindServer(f->fleet, "e1");
-    assert_false(SasFleet_IsOpen(f->fleet, slot));
-    assert_true(
-        SasFleet_IsOpen(f->fleet, SasFleet_FindServer(f->fleet, "e2")));
+    assert_false(SasFleet_AcceptsRequests(f->fleet, slot));
+    assert_true(SasFleet_AcceptsRequests(f->fleet,
+                                         SasFleet_FindServer(f->fleet, "e2")));
     assert_false(SasSteering_IsVmLeaving(f->steering, "vm-1"));
     assert_true(SasSteering_IsVmLeaving(f->steering, "vm-2"));
     SasConfig_Unref(config);
     config = accept(f, SasSheet_HEADER "\n+0,desk,east,west,10%,,,\n");
-    assert_true(SasFleet_IsOpen(f->fleet, slot));
+    assert_true(SasFleet_AcceptsRequests(f->fleet, slot));
     assert_false(SasSteering_IsVmLeaving(f->steering, "vm-2"));
     SasConfig_Unref(config);
     stop(f);
@@ -230,10 +230,10 @@
     int later = SasFleet_AddService(f->fleet, "vault");
     struct sas_steering_query query = {.service = later, .home = f->east};
     struct sas_steering_grant grant;
-    assert_false(SasSteering_Take(f->steering, &query, 1000, &grant));
-    SasSnapshot_Add(SasSteering_GetModel(f->steering), f->fleet);
+    assert_false(SasSteering_Acquire(f->steering, &query, 1000, &grant));
+    SasFleetModel_Add(SasSteering_GetModel(f->steering), f->fleet);
     SasSteering_Advance(f->steering, WALL_MS + 1000, 2000, NULL);
-    assert_false(SasSteering_Take(f->steering, &query, 2000, &grant));
+    assert_false(SasSteering_Acquire(f->steering, &query, 2000, &grant));
     assert_int_equal(count_steered(f, 1, 0, 2000), OBJECTS);
     SasConfig_Unref(config);
     stop(f);
@@ -256,20 +256,20 @@
     f = start();
     SasFleet_RemoveServer(f->fleet, "e1");
     model = SasSteering_GetModel(f->steering);
-    SasSnapshot_Refresh(model, f->fleet, NULL);
+    SasFleetModel_Refresh(model, f->fleet, NULL);
     assert_int_equal(SasModel_FindBackend(model, "e1"), SasModel_NONE);
     struct sas_error error = {0};
     assert_null(SasConfig_Decode(model, text, strlen(text), &error));
-    SasSnapshot_AddNames(model, f->fleet, text, strlen(text));
+    SasFleetModel_AddNames(model, f->fleet, text, strlen(text));
     config = SasConfig_Decode(model, text, strlen(text), &error);
     assert_non_null(config);
     /* The row stays, at the same index, as long as the sheet names it. */
     int index = SasModel_FindBackend(model, "e1");
     SasFleet_RemoveServer(f->fleet, "e2");
-    SasSnapshot_Refresh(model, f->fleet, config);
+    SasFleetModel_Refresh(model, f->fleet, config);
     assert_int_equal(SasModel_FindBackend(model, "e1"), index);
     assert_int_equal(SasModel_FindBackend(model, "e2"), SasModel_NONE);
-    SasSnapshot_Refresh(model, f->fleet, NULL);
+    SasFleetModel_Refresh(model, f->fleet, NULL);
     assert_int_equal(SasModel_FindBackend(model, "e1"), SasModel_NONE);
     free(text);
     SasConfig_Unref(config);
--- a/packages/gateway/src/mesh.c
+++ b/packages/gateway/src/mesh.c
@@ -6,7 +6,7 @@
 #include "mesh_internal.h"
 #include "sas/http.h"
 #include "sas/log.h"
-#include "sas/strength.h"
+#include "sas/vm_capacity.h"
 
 /* Failure domains whose leaders a change is announced to at once. Each leader
  * thus gets it from as many others, also while most of them are unreachable.
@@ -69,7 +69,8 @@
         .caller = settings->caller,
         .peer = settings->peer,
         .incarnation = (uint64_t)settings->started_at,
-        .capacity = SasStrength_Estimate(settings->cores, settings->link_mbps),
+        .capacity =
+            SasVmCapacity_Estimate(settings->cores, settings->link_mbps),
     };
     g_strlcpy(own.name, settings->name, sizeof(own.name));
     g_strlcpy(own.zone, settings->zone, sizeof(own.zone));
@@ -201,7 +202,7 @@
 SasMesh_Leave(struct sas_mesh *mesh)
 {
     SasMembership_SetLeaving(&mesh->table);
-    SasMembership_Beat(&mesh->table, SasMesh_Now(mesh));
+    SasMembership_IncrementHeartbeat(&mesh->table, SasMesh_Now(mesh));
     SasMesh_Broadcast(mesh);
 }
 
@@ -286,10 +287,11 @@
 }
 
 void
-SasMesh_FindGone(const struct sas_mesh *mesh, bool *down)
+SasMesh_FindDownRegions(const struct sas_mesh *mesh, bool *down)
 {
     int regions = SasFleet_CountRegions(mesh->fleet);
-    bool partitioned = SasMembership_IsCutOff(&mesh->table, SasMesh_Now(mesh));
+    bool partitioned =
+        SasMembership_IsPartitioned(&mesh->table, SasMesh_Now(mesh));
     memset(down, 0, (size_t)regions * sizeof(*down));
     for (int member_id = 0; member_id < (int)mesh->vms->len && !partitioned;
          member_id++) {
--- a/packages/gateway/src/mesh.h
+++ b/packages/gateway/src/mesh.h
@@ -46,7 +46,7 @@
  * has completed since. */
 struct sas_mesh_poison_update {
     struct sas_fingerprint fingerprint;
-    uint64_t crash; /* of SasQuarantine_GetCrash; ignored if completed */
+    uint64_t crash; /* of SasQuarantine_HashCrash; ignored if completed */
     bool isolated;  /* no other request was known to run there */
     bool completed;
 };
@@ -136,7 +136,7 @@
 
 /* Fills in down, by region: true if it had entry VMs and none is live. All
  * false while this entry VM is partitioned. */
-void SasMesh_FindGone(const struct sas_mesh *mesh, bool *down);
+void SasMesh_FindDownRegions(const struct sas_mesh *mesh, bool *down);
 
 /* Number of live members, this one included. */
 int SasMesh_Count(const struct sas_mesh *mesh);
--- a/packages/gateway/src/relay.c
+++ b/packages/gateway/src/relay.c
@@ -36,7 +36,7 @@
         SasPoisonRequests_New(options->loop, options->fleet, options->pool,
                               options->mesh, options->metrics);
     SasRelay_Subscribe(relay);
-    relay->objects = SasObjects_New();
+    relay->objects = SasCachedObjects_New();
     relay->services = g_ptr_array_new_with_free_func(g_free);
     relay->slots = g_ptr_array_new_with_free_func(g_free);
     relay->routes =
@@ -48,7 +48,7 @@
 SasRelay_Free(struct sas_relay *relay)
 {
     SasPoisonRequests_Free(relay->poison_requests);
-    SasObjects_Free(relay->objects);
+    SasCachedObjects_Free(relay->objects);
     g_ptr_array_free(relay->services, TRUE);
     g_ptr_array_free(relay->slots, TRUE);
     g_hash_table_destroy(relay->routes);
@@ -62,7 +62,7 @@
 }
 
 void
-SasRelay_Stop(struct sas_relay *relay, const struct sas_stop_plan *plan)
+SasRelay_Stop(struct sas_relay *relay, const struct sas_shutdown_plan *plan)
 {
     relay->stop = *plan;
 }
@@ -91,8 +91,8 @@
     const struct sas_entry_bounds *bounds = &relay->options.settings->bounds;
     while ((int)relay->services->len <= service) {
         struct service_state *state = g_new0(struct service_state, 1);
-        SasRepeat_Init(&state->retries, bounds->retry_share,
-                       bounds->retry_burst, bounds->retry_window_ms);
+        SasRetryBudget_Init(&state->retries, bounds->retry_share,
+                            bounds->retry_burst, bounds->retry_window_ms);
         g_ptr_array_add(relay->services, state);
     }
     return relay->services->pdata[service];
@@ -111,7 +111,7 @@
         memset(state, 0, sizeof(*state));
         state->generation = generation;
         SasWindow_Init(&state->cold_sends, 1000);
-        SasGrey_Init(&state->grey_failure);
+        SasGreyFailure_Init(&state->grey_failure);
     }
     return state;
 }
@@ -122,8 +122,9 @@
 free_call(struct relay_call *call)
 {
     g_queue_unlink(&call->relay->calls, &call->link);
-    SasSteering_End(call->relay->options.steering, &call->grant,
-                    (double)call->answer_body->len, SasRelay_Now(call->relay));
+    SasSteering_Release(call->relay->options.steering, &call->grant,
+                        (double)call->answer_body->len,
+                        SasRelay_Now(call->relay));
     SasFleetConfig_Unref(call->config);
     g_ptr_array_free(call->answer_headers, TRUE);
     g_string_free(call->answer_body, TRUE);
@@ -164,7 +165,7 @@
         "config_age_ms",
         (json_int_t)(call->config != NULL ? now_ms - call->config->applied_at
                                           : 0),
-        "homes", routed && call->route->homes != 0);
+        "homes", routed && call->route->allowed_regions != 0);
 }
 
 static void
@@ -233,8 +234,8 @@
     struct route_state *state = g_hash_table_lookup(routes, call->route->name);
     if (state == NULL) {
         state = g_new0(struct route_state, 1);
-        SasPace_Init(&state->service_time,
-                     (double)call->route->target_latency_ms);
+        SasServiceTime_Init(&state->service_time,
+                            (double)call->route->target_latency_ms);
         g_hash_table_insert(routes, g_strdup(call->route->name), state);
     }
     return state;
@@ -285,8 +286,8 @@
 may_admit(const struct relay_call *call)
 {
     const struct sas_relay *relay = call->relay;
-    return SasStop_MayTake(&relay->stop, SasRelay_Now(relay),
-                           call->deadline_at);
+    return SasShutdown_ShouldAccept(&relay->stop, SasRelay_Now(relay),
+                                    call->deadline_at);
 }
 
 /* A request without an object key has an object of its own. */
@@ -358,8 +359,9 @@
     }
     find_object(call);
     call->service = pick_service(call);
-    SasRepeat_NoteRequest(&SasRelay_GetService(relay, call->service)->retries,
-                          SasRelay_Now(relay));
+    SasRetryBudget_NoteRequest(
+        &SasRelay_GetService(relay, call->service)->retries,
+        SasRelay_Now(relay));
     SasRelay_Choose(call);
 }
 
--- a/packages/gateway/src/relay_call.h
+++ b/packages/gateway/src/relay_call.h
@@ -4,11 +4,11 @@
 #define SAS_RELAY_CALL_H
 
 #include "relay.h"
-#include "sas/admit.h"
-#include "sas/allowance.h"
-#include "sas/grey.h"
+#include "sas/admission.h"
+#include "sas/shared_limits.h"
+#include "sas/grey_failure.h"
 #include "sas/http.h"
-#include "sas/keep.h"
+#include "sas/zone_share.h"
 #include "sas/owner.h"
 #include "sas/split.h"
 #include "sas/traffic.h"
@@ -34,8 +34,8 @@
 #define SasRelay_DEFAULT_DEADLINE_MS 30000
 
 struct service_state {
-    struct sas_repeat_allowance retries;
-    struct sas_keep zone_share;
+    struct sas_retry_budget retries;
+    struct sas_zone_share zone_share;
     int64_t avoid_idle_until; /* idle connections may be dead until then */
 };
 
@@ -44,13 +44,13 @@
     uint32_t generation;
     struct sas_window cold_sends; /* requests sent in the last second */
     int64_t cold_until_ms;        /* assumed; the row may state another time */
-    struct sas_grey grey_failure;
+    struct sas_grey_failure grey_failure;
 };
 
 struct route_state { /* of a route by name, across configurations */
     struct sas_split split;
     double bytes; /* smoothed, of a request and its answer */
-    struct sas_pace service_time;
+    struct sas_service_time service_time;
 };
 
 struct sas_relay {
@@ -62,11 +62,11 @@
     GPtrArray *slots;    /* struct slot_state *, by slot */
     GHashTable *routes;  /* struct route_state by route name */
     struct sas_poison_requests *poison_requests;
-    struct sas_objects *objects;
+    struct sas_cached_objects *objects;
     bool rows_stale; /* of servers, which may be cold without notice */
     int end_counters[SAS_HTTP_END_COUNT]; /* metrics of connections */
     GQueue calls; /* struct relay_call *, by their links */
-    struct sas_stop_plan stop;
+    struct sas_shutdown_plan stop;
 };
 
 /* A whole answer. */
--- a/packages/gateway/src/relay_choose.c
+++ b/packages/gateway/src/relay_choose.c
@@ -30,7 +30,7 @@
     if (call->route->kind != SAS_ROUTE_UPLOAD) {
         return 0;
     }
-    return SasKeep_Update(
+    return SasZoneShare_Update(
         &SasRelay_GetService(relay, call->service)->zone_share,
         relay->options.fleet, call->service,
         SasMesh_GetOwnZone(relay->options.mesh), now_ms);
@@ -41,7 +41,7 @@
 {
     const struct route_state *state = SasRelay_GetRouteState(call);
     return call->route->kind == SAS_ROUTE_UPLOAD ||
-           SasKeep_IsNear(&state->service_time, state->bytes);
+           SasZoneShare_PrefersZone(&state->service_time, state->bytes);
 }
 
 /* The server. */
@@ -91,8 +91,8 @@
         return true;
     }
     int share =
-        SasCold_GetShare(service->cold_per_s, bounds->cold_factor,
-                         bounds->cold_slack, senders.count, senders.rank);
+        SasColdLimit_GetShare(service->cold_per_s, bounds->cold_factor,
+                              bounds->cold_slack, senders.count, senders.rank);
     return SasWindow_Count(&state->cold_sends, now_ms) >= share;
 }
 
@@ -113,8 +113,9 @@
     }
     struct service_state *service =
         SasRelay_GetService(call->relay, call->service);
-    if (!SasRepeat_Take(&service->retries,
-                        SasMesh_Count(call->relay->options.mesh), now_ms)) {
+    if (!SasRetryBudget_Acquire(&service->retries,
+                                SasMesh_Count(call->relay->options.mesh),
+                                now_ms)) {
         return "no repeats left";
     }
     return NULL;
@@ -157,7 +158,7 @@
     if (!call->has_fingerprint) {
         size_t size = 0;
         const char *body = SasHttpExchange_GetBody(call->exchange, &size);
-        call->fingerprint = SasQuarantine_GetFingerprint(
+        call->fingerprint = SasQuarantine_HashRequest(
             SasHttpExchange_GetMethod(call->exchange),
             SasHttpExchange_GetTarget(call->exchange), body, size);
         call->has_fingerprint = true;
@@ -165,7 +166,7 @@
     return call->fingerprint;
 }
 
-static enum sas_quarantine_verdict
+static enum sas_quarantine_decision
 check_poison(struct relay_call *call)
 {
     struct sas_poison_requests *poison_requests = call->relay->poison_requests;
@@ -208,9 +209,9 @@
     for (int i = 1; i < count; i++) {
         const struct sas_fleet_server *server = SasFleet_At(fleet, slots[i]);
         if (!SasTraffic_IsGrey(server, now_ms) &&
-            now_ms >= server->traffic.brief_until &&
-            SasTraffic_HasRoom(fleet, slots[i], SasAdmit_SPARE_SLOTS,
-                               now_ms)) {
+            now_ms >= server->traffic.short_queue_until &&
+            SasTraffic_HasFreeSlots(fleet, slots[i], SasAdmission_SPARE_SLOTS,
+                                    now_ms)) {
             slots[0] = slots[i];
             return 1;
         }
@@ -248,7 +249,7 @@
     int kept = 0;
     int responsive[SasOwner_MAX_CANDIDATES];
     for (int i = 0; i < count; i++) {
-        if (!SasTraffic_IsSilent(fleet, slots[i], now_ms)) {
+        if (!SasTraffic_IsUnresponsive(fleet, slots[i], now_ms)) {
             responsive[kept++] = slots[i];
         }
     }
@@ -312,26 +313,27 @@
         .bytes = (double)size,
         .vms = senders.count,
         .rank = senders.rank,
-        .newcomer = !senders.has_share,
+        .joining = !senders.has_share,
     };
-    SasSteering_Take(options->steering, &query, now_ms, &call->grant);
+    SasSteering_Acquire(options->steering, &query, now_ms, &call->grant);
 }
 
-static struct sas_admit_verdict
+static struct sas_admission_decision
 decide(struct relay_call *call, const int *slots, int count, int64_t now_ms)
 {
-    struct sas_admit_query query = {
+    struct sas_admission_query query = {
         .slots = slots,
         .count = count,
         .objects = call->keyed ? call->relay->objects : NULL,
-        .pace = &SasRelay_GetRouteState(call)->service_time,
+        .service_time = &SasRelay_GetRouteState(call)->service_time,
         .key = call->key,
-        .goal_ms = (double)(call->began_at + get_objective(call) - now_ms),
+        .objective_ms =
+            (double)(call->began_at + get_objective(call) - now_ms),
         .left_ms = (double)(call->deadline_at - now_ms),
-        .urgent = call->route->urgent,
-        .in_doubt = call->relay->rows_stale,
+        .high_priority = call->route->high_priority,
+        .rows_stale = call->relay->rows_stale,
     };
-    return SasAdmit_Judge(call->relay->options.fleet, &query, now_ms);
+    return SasAdmission_Decide(call->relay->options.fleet, &query, now_ms);
 }
 
 void
@@ -346,7 +348,7 @@
                                              : SasRelay_RETRY_AFTER_MS);
         return;
     }
-    enum sas_quarantine_verdict quarantine = check_poison(call);
+    enum sas_quarantine_decision quarantine = check_poison(call);
     if (quarantine == SAS_QUARANTINE_REFUSE) {
         end_unserved(call, "quarantined", SasRelay_RETRY_AFTER_MS);
         return;
@@ -357,12 +359,12 @@
     struct sas_owner_query query = {
         .service = call->service,
         .zone = SasMesh_GetOwnZone(relay->options.mesh),
-        .near = prefers_zone(call),
-        .keep = get_zone_share(call, now_ms),
+        .prefer_zone = prefers_zone(call),
+        .zone_share = get_zone_share(call, now_ms),
         .key = call->key,
-        .homes = call->route->homes,
-        .ordered = call->grant.steered,
-        .to_region = call->grant.to,
+        .allowed_regions = call->route->allowed_regions,
+        .steered = call->grant.steered,
+        .steered_region = call->grant.to,
     };
     int slots[SasOwner_MAX_CANDIDATES];
     int count =
@@ -371,21 +373,23 @@
     count = filter_usable(call, slots, count, now_ms, &reason);
     count = avoid_unresponsive(call, slots, count, now_ms);
     count = avoid_grey_failure(call, slots, count, now_ms);
-    call->isolated = quarantine == SAS_QUARANTINE_ALONE;
+    call->isolated = quarantine == SAS_QUARANTINE_ISOLATE;
     if (call->isolated) {
         count = filter_idle(call, slots, count, now_ms);
         reason = "suspect";
     }
-    struct sas_admit_verdict verdict = decide(call, slots, count, now_ms);
-    call->wait_ms = verdict.wait_ms;
-    if (verdict.slot != SasModel_NONE) {
-        call->cached = verdict.known;
-        call->work_ms = verdict.work_ms;
+    struct sas_admission_decision decision =
+        decide(call, slots, count, now_ms);
+    call->wait_ms = decision.wait_ms;
+    if (decision.slot != SasModel_NONE) {
+        call->cached = decision.cached;
+        call->work_ms = decision.service_ms;
         if (call->keyed && !call->cached) {
-            SasObjects_NoteSent(relay->objects, call->service, call->key,
-                                SasFleet_GetRef(fleet, verdict.slot), now_ms);
+            SasCachedObjects_NoteLoading(
+                relay->objects, call->service, call->key,
+                SasFleet_GetRef(fleet, decision.slot), now_ms);
         }
-        SasRelay_Send(call, verdict.slot);
+        SasRelay_Send(call, decision.slot);
         return;
     }
     if (count > 0) {
@@ -393,5 +397,6 @@
         reason = "owner full";
     }
     end_unserved(call, reason,
-                 count > 0 ? verdict.retry_after_ms : SasRelay_RETRY_AFTER_MS);
+                 count > 0 ? decision.retry_after_ms
+                           : SasRelay_RETRY_AFTER_MS);
 }
--- a/packages/gateway/src/relay_peers.c
+++ b/packages/gateway/src/relay_peers.c
@@ -64,7 +64,7 @@
     }
     struct sas_fleet_server *server = SasFleet_At(relay->options.fleet, slot);
     const struct sas_server_traffic *traffic = &server->traffic;
-    bool ejected = change == SAS_TRAFFIC_TRIPPED;
+    bool ejected = change == SAS_TRAFFIC_EJECTED;
     struct sas_metrics *metrics = relay->options.metrics;
     int counter = SasMetrics_Register(metrics, "sas_servers_tripped_total",
                                       "cause", ejected ? cause : "well again",
@@ -72,8 +72,8 @@
     SasMetrics_Add(metrics, counter, 1);
     struct sas_mesh_ejection ejection = {
         .server_hash = server->hash,
-        .left_ms = ejected ? traffic->hold_ms : 0,
-        .restarted = !ejected && traffic->was_down,
+        .left_ms = ejected ? traffic->ejection_ms : 0,
+        .restarted = !ejected && traffic->refused_connections,
     };
     if (ejection.restarted) {
         assume_cold(relay, slot);
@@ -82,15 +82,15 @@
         relay->options.mesh, &ejection,
         SasFleet_GetServerRegion(relay->options.fleet, slot));
     if (ejected && !is_prober(relay, slot)) {
-        SasTraffic_AwaitWord(relay->options.fleet, slot);
+        SasTraffic_AwaitPeerReport(relay->options.fleet, slot);
     }
     SasLog_WriteFields(
         SasLog_WARN, ejected ? "server.tripped" : "server.well",
         server->facts.id, "{s:s, s:i, s:i, s:f}", "cause",
         ejected ? cause : "its trial", "for_ms",
-        ejected ? (int)traffic->hold_ms : 0, "in_flight", traffic->in_flight,
-        "pace_ms",
-        SasTraffic_GetPaceMs(relay->options.fleet, server->service));
+        ejected ? (int)traffic->ejection_ms : 0, "in_flight",
+        traffic->in_flight, "pace_ms",
+        SasTraffic_GetServiceTimeMs(relay->options.fleet, server->service));
 }
 
 /* Applies a peer's report; the prober forwards it to all if it changes the
@@ -101,17 +101,17 @@
 {
     struct sas_fleet_server *server = SasFleet_At(relay->options.fleet, slot);
     bool prober = is_prober(relay, slot);
-    bool was_ejected = server->traffic.tripped;
+    bool was_ejected = server->traffic.ejected;
     if (ejection->grey_failure) {
         SasTraffic_NoteGrey(server, ejection->left_ms, SasRelay_Now(relay));
         return;
     }
-    SasTraffic_TakeWord(relay->options.fleet, slot, ejection->left_ms, prober,
-                        SasRelay_Now(relay));
+    SasTraffic_ApplyPeerReport(relay->options.fleet, slot, ejection->left_ms,
+                               prober, SasRelay_Now(relay));
     if (ejection->restarted) {
         assume_cold(relay, slot);
     }
-    if (prober && was_ejected != server->traffic.tripped) {
+    if (prober && was_ejected != server->traffic.ejected) {
         SasMesh_ReportEjection(
             relay->options.mesh, ejection,
             SasFleet_GetServerRegion(relay->options.fleet, slot));
@@ -156,13 +156,14 @@
 {
     int64_t now_ms = SasRelay_Now(relay);
     struct slot_state *state = SasRelay_GetSlot(relay, slot);
-    if (!SasGrey_Add(&state->grey_failure, failed, answered, now_ms)) {
+    if (!SasGreyFailure_AddReport(&state->grey_failure, failed, answered,
+                                  now_ms)) {
         return;
     }
     struct sas_fleet_server *server = SasFleet_At(relay->options.fleet, slot);
     struct sas_mesh_ejection ejection = {
         .server_hash = server->hash,
-        .left_ms = SasGrey_HOLD_MS,
+        .left_ms = SasGreyFailure_MARK_MS,
         .grey_failure = true,
     };
     SasTraffic_NoteGrey(server, ejection.left_ms, now_ms);
@@ -177,8 +178,8 @@
 void
 SasRelay_NoteAnswered(struct sas_relay *relay, int slot)
 {
-    SasGrey_NoteAnswered(&SasRelay_GetSlot(relay, slot)->grey_failure,
-                         SasRelay_Now(relay));
+    SasGreyFailure_NoteAnswered(&SasRelay_GetSlot(relay, slot)->grey_failure,
+                                SasRelay_Now(relay));
 }
 
 void
@@ -188,8 +189,8 @@
     struct sas_mesh_failure_report report = {
         .server_hash = SasFleet_At(relay->options.fleet, slot)->hash,
         .failed = 1,
-        .answered =
-            SasGrey_TakeAnswered(&state->grey_failure, SasRelay_Now(relay)),
+        .answered = SasGreyFailure_TakeUnreported(&state->grey_failure,
+                                                  SasRelay_Now(relay)),
     };
     if (is_prober(relay, slot)) {
         count_failures(relay, slot, report.failed, report.answered);
@@ -240,7 +241,7 @@
     relay->mesh_listener.on_record = on_record;
     relay->mesh_listener.on_digest_mismatch = on_digest_mismatch;
     relay->mesh_listener.on_failure_report = on_failure_report;
-    relay->fleet_listener.on_reopened = on_reopened;
+    relay->fleet_listener.on_zone_restored = on_reopened;
     SasFleet_AddListener(relay->options.fleet, &relay->fleet_listener);
     SasMesh_SetListener(relay->options.mesh, &relay->mesh_listener);
 }
--- a/packages/node/src/peer_sync.c
+++ b/packages/node/src/peer_sync.c
@@ -73,13 +73,13 @@
     struct sas_peer_sync *sync = g_new0(struct sas_peer_sync, 1);
     sync->options = *options;
     sync->handler.fill_gossip = fill_gossip;
-    sync->handler.take_gossip = apply_gossip;
-    sync->handler.provide_config = provide_config;
-    sync->handler.take_config = adopt_config;
-    sync->handler.take_quarantines = apply_quarantines;
-    sync->handler.answer_borrow = answer_borrow;
-    sync->handler.take_return = accept_return;
-    sync->handler.answer_disown = answer_disown;
+    sync->handler.on_gossip = apply_gossip;
+    sync->handler.get_config = provide_config;
+    sync->handler.on_config = adopt_config;
+    sync->handler.on_quarantines = apply_quarantines;
+    sync->handler.on_borrow = answer_borrow;
+    sync->handler.on_return = accept_return;
+    sync->handler.on_disown = answer_disown;
     sync->loads = g_new0(struct own_report, model->backend_count);
     sync->gossip_loads = g_new0(struct sas_rpc_load, model->backend_count);
     struct sas_peer_options peer_options;
@@ -136,7 +136,7 @@
 void
 SasPeerSync_NoteChange(struct sas_peer_sync *sync)
 {
-    SasPeer_NoteChange(sync->peer);
+    SasPeer_GossipSoon(sync->peer);
 }
 
 void
@@ -226,7 +226,7 @@
     struct sas_peer_sync *sync = (struct sas_peer_sync *)handler;
     const struct sas_config *current =
         SasConfigStore_GetCurrent(sync->options.config_store);
-    if (current == NULL || (uint64_t)current->number <= have) {
+    if (current == NULL || (uint64_t)current->version <= have) {
         config->number = 0;
         return 0;
     }
@@ -237,7 +237,7 @@
     if (size > SAS_RPC_MAX_CONFIG) {
         return -1; /* too large for a message; peers read it from the store */
     }
-    config->number = (uint64_t)current->number;
+    config->number = (uint64_t)current->version;
     config->base = 0;
     config->bytes.bytes_val = sync->config_text;
     config->bytes.bytes_len = (u_int)size;
@@ -353,8 +353,8 @@
     const struct sas_membership *table = SasPeer_GetMembership(sync->peer);
     struct sas_metrics *metrics = sync->options.counters->metrics;
     int64_t now = SasPeer_GetNow();
-    bool partitioned = SasMembership_IsCutOff(table, now);
-    if (table->replaced_by != 0 && !sync->replaced) {
+    bool partitioned = SasMembership_IsPartitioned(table, now);
+    if (table->newer_incarnation != 0 && !sync->replaced) {
         sync->replaced = true;
         sync->options.listener->on_replaced(sync->options.listener);
     }
--- a/packages/node/src/router.c
+++ b/packages/node/src/router.c
@@ -16,7 +16,7 @@
 free_tables(struct sas_router *router)
 {
     g_free(router->backends);
-    SasDeparture_Close(&router->departures);
+    SasLeavingServer_Close(&router->departures);
     g_free(router->vms);
     g_free(router->views);
 
@@ -36,9 +36,9 @@
     router->options = *options;
     router->model = model;
     router->backends = g_new0(struct backend_row, model->backend_count);
-    SasDeparture_Init(&router->departures, model->backend_count);
+    SasLeavingServer_Init(&router->departures, model->backend_count);
     router->vms = g_new0(struct vm_row, model->vm_count);
-    router->views = g_new0(struct sas_vm_view, model->vm_count);
+    router->views = g_new0(struct sas_vm_status, model->vm_count);
 
     router->signals = g_new0(struct sas_plan_signal,
                              model->service_count * model->region_count);
@@ -46,16 +46,17 @@
     for (int i = 0; i < model->backend_count; i++) {
         router->backends[i].last_reached_at = (int64_t)uv_now(options->loop);
     }
-    router->servers = g_new0(struct sas_place_server, model->backend_count);
+    router->servers =
+        g_new0(struct sas_placement_server, model->backend_count);
     router->answer_bytes = g_new0(double, model->service_count);
     for (int i = 0; i < model->service_count; i++) {
-        router->answer_bytes[i] = SasSteer_FIRST_ANSWER_BYTES;
+        router->answer_bytes[i] = SasRouter_FIRST_ANSWER_BYTES;
     }
     const char *placement = options->settings->placement;
     router->placement =
-        SasPlace_Create(placement != NULL && placement[0] != '\0'
-                            ? placement
-                            : SasSteer_DEFAULT_PLACEMENT);
+        SasPlacement_Create(placement != NULL && placement[0] != '\0'
+                                ? placement
+                                : SasRouter_DEFAULT_PLACEMENT);
     if (router->placement == NULL) {
         SasError_Set(error, SAS_EINVAL, "steer.open", NULL,
                      "unknown placement policy %s", placement);
@@ -67,7 +68,7 @@
             SasRouterState_CountOwnedSlots(router, i);
     }
     SasLookup_Init(&router->lookup, model);
-    SasMeasure_Init(&router->measure, model, DEFAULT_HEADROOM);
+    SasLoadEstimate_Init(&router->measure, model, DEFAULT_HEADROOM);
     uv_timer_init(options->loop, &router->timer);
     router->timer.data = router;
     uv_timer_start(&router->timer, on_tick, TICK_MS, TICK_MS);
@@ -85,8 +86,8 @@
 {
     SasPlan_Free(&router->plan);
     SasLookup_Close(&router->lookup);
-    SasMeasure_Close(&router->measure);
-    SasPlace_Free(router->placement);
+    SasLoadEstimate_Close(&router->measure);
+    SasPlacement_Free(router->placement);
     uv_close((uv_handle_t *)&router->timer, on_timer_closed);
 }
 
@@ -110,10 +111,10 @@
     if (!router->has_config) {
         return -1;
     }
-    int home = SasLookup_FindHome(&router->lookup, caller_ip);
-    result->region = SasLookup_Find(&router->lookup, service, caller_ip);
+    int home = SasLookup_FindHomeRegion(&router->lookup, caller_ip);
+    result->region = SasLookup_FindRegion(&router->lookup, service, caller_ip);
     result->version = router->version;
-    int64_t lifetime_ms = SasLookup_ChooseLifetime(
+    int64_t lifetime_ms = SasLookup_ChooseTtl(
         &router->plan, service, home, g_rand_double(router->options.random));
     result->lifetime_s = (int)MAX(lifetime_ms / 1000, 1);
     result->vm_count = SasLookup_OrderVms(
@@ -150,9 +151,9 @@
 describe_region(struct sas_router *router, int service, int region)
 {
     double age_ms = 0;
-    double headroom =
-        SasMeasure_GetHeadroom(&router->measure, router->model, service,
-                               region, SasRouterState_GetNow(router), &age_ms);
+    double headroom = SasLoadEstimate_GetHeadroom(
+        &router->measure, router->model, service, region,
+        SasRouterState_GetNow(router), &age_ms);
     return SasStatusJson_DescribeRegion(router->model, service, region,
                                         headroom);
 }
--- a/packages/node/src/router_state.h
+++ b/packages/node/src/router_state.h
@@ -8,9 +8,9 @@
 #define SAS_ROUTER_STATE_H
 
 #include "sas/lookup.h"
-#include "sas/measure.h"
+#include "sas/load_estimate.h"
 #include "sas/membership.h"
-#include "sas/place.h"
+#include "sas/placement.h"
 #include "sas/plan.h"
 #include "router.h"
 
@@ -38,17 +38,17 @@
     int64_t version;
     struct sas_plan plan;
     struct sas_lookup lookup;
-    struct sas_measure measure;
+    struct sas_load_estimate measure;
     struct backend_row *backends;
-    struct sas_departure_table departures;
+    struct sas_leaving_server_table departures;
     struct vm_row *vms;
-    struct sas_vm_view *views;
+    struct sas_vm_status *views;
     bool shares_seeded; /* with a peer's shares */
     struct sas_plan_signal *signals;
     bool *down;           /* by region */
     double *answer_bytes; /* by service, a moving average */
-    struct sas_place_policy *placement;
-    struct sas_place_server *servers; /* scratch for one decision */
+    struct sas_placement_policy *placement;
+    struct sas_placement_server *servers; /* scratch for one decision */
     uv_timer_t timer;
 };
 
--- a/packages/node/src/router_updates.c
+++ b/packages/node/src/router_updates.c
@@ -20,7 +20,7 @@
 is_reported_leaving(const struct sas_router *router, int backend)
 {
     return router->backends[backend].listed_leaving ||
-           SasDeparture_IsLeaving(&router->departures, backend);
+           SasLeavingServer_IsLeaving(&router->departures, backend);
 }
 
 void
@@ -38,7 +38,7 @@
     static const struct sas_config empty = {.sheet_text = ""};
     SasPlan_Build(&router->plan, router->model,
                   config != NULL ? config : &empty);
-    router->version = config != NULL ? config->number : 0;
+    router->version = config != NULL ? config->version : 0;
     router->has_config = true;
     SasRouterState_Advance(router);
     SasRouterState_RebuildLookups(router);
@@ -50,8 +50,8 @@
 static void
 update_leaving(struct sas_router *router, int backend)
 {
-    SasMeasure_SetLeaving(&router->measure, backend,
-                          is_reported_leaving(router, backend));
+    SasLoadEstimate_SetLeaving(&router->measure, backend,
+                               is_reported_leaving(router, backend));
 }
 
 static void
@@ -72,13 +72,13 @@
                int64_t measured_ms)
 {
     if (incarnation != 0) {
-        return SasDeparture_NoteReport(&router->departures, backend,
-                                       incarnation, report->leaving,
-                                       measured_ms);
+        return SasLeavingServer_NoteReport(&router->departures, backend,
+                                           incarnation, report->leaving,
+                                           measured_ms);
     }
     return report->leaving &&
-           SasDeparture_NoteListed(&router->departures, backend,
-                                   SAS_DEPARTURE_SERVER);
+           SasLeavingServer_NoteAnnounced(&router->departures, backend,
+                                          SAS_LEAVING_SERVER_REPORT);
 }
 
 void
@@ -88,9 +88,9 @@
 {
     int slots = report->slots > 0 ? report->slots
                                   : router->model->backends[backend].slots;
-    SasMeasure_Report(&router->measure, backend, report->running,
-                      report->queued, slots,
-                      SasRouterState_GetNow(router) - age_ms);
+    SasLoadEstimate_Report(&router->measure, backend, report->running,
+                           report->queued, slots,
+                           SasRouterState_GetNow(router) - age_ms);
     if (note_departure(router, backend, report, incarnation,
                        SasRouterState_GetNow(router) - age_ms)) {
         SasLog_Write(SasLog_INFO, "backend.leaving",
@@ -120,8 +120,8 @@
 void
 SasRouter_NoteShed(struct sas_router *router, int backend)
 {
-    SasMeasure_NoteShed(&router->measure, backend,
-                        SasRouterState_GetNow(router));
+    SasLoadEstimate_NoteShed(&router->measure, backend,
+                             SasRouterState_GetNow(router));
 }
 
 static void
@@ -138,8 +138,8 @@
         return;
     }
     if (leaving && !router->backends[backend].listed_leaving) {
-        SasDeparture_NoteListed(&router->departures, backend,
-                                SAS_DEPARTURE_PLATFORM);
+        SasLeavingServer_NoteAnnounced(&router->departures, backend,
+                                       SAS_LEAVING_SERVER_PLATFORM);
     }
     router->backends[backend].listed_leaving = leaving;
     update_leaving(router, backend);
@@ -255,13 +255,13 @@
         router->down[i] = is_region_down(router, i);
     }
     for (int i = 0; i < model->service_count * model->region_count; i++) {
-        router->signals[i].headroom = SasMeasure_GetHeadroom(
+        router->signals[i].headroom = SasLoadEstimate_GetHeadroom(
             &router->measure, model, i / model->region_count,
             i % model->region_count, now, &router->signals[i].age_ms);
     }
     struct sas_plan_signals signals = {
         .table = router->signals,
-        .gone = router->down,
+        .down = router->down,
     };
     bool changed = SasPlan_Advance(
         &router->plan, router->options.get_wall_ms(), now, &signals);
--- a/packages/peer/src/call.c
+++ b/packages/peer/src/call.c
@@ -15,7 +15,7 @@
                    const struct sas_error *error,
                    const union sas_proto_body *body);
 static void fail(struct sas_peer *peer, struct sas_call *call,
-                 enum sas_code code, const char *text);
+                 enum sas_error_code code, const char *text);
 static GArray *collect_xids(const struct sas_peer *peer);
 
 /* Calls */
@@ -93,11 +93,11 @@
     struct sas_call *call =
         g_hash_table_lookup(peer->calls, GUINT_TO_POINTER(message->xid));
     if (call == NULL || call->connection != connection) {
-        SasPeer_Count(peer, SAS_PEER_ANSWERS_LATE);
+        SasPeer_Count(peer, SAS_PEER_REPLIES_LATE);
         return;
     }
     if (SasPeer_GetNow() >= call->deadline_ms) {
-        SasPeer_Count(peer, SAS_PEER_ANSWERS_LATE);
+        SasPeer_Count(peer, SAS_PEER_REPLIES_LATE);
         SasPeer_Count(peer, SAS_PEER_CALLS_TIMEOUT);
         fail(peer, call, SAS_ETIMEOUT, "the answer arrived after the timeout");
         return;
@@ -294,7 +294,7 @@
 }
 
 static void
-fail(struct sas_peer *peer, struct sas_call *call, enum sas_code code,
+fail(struct sas_peer *peer, struct sas_call *call, enum sas_error_code code,
      const char *text)
 {
     struct sas_error error;
--- a/packages/peer/src/connection.c
+++ b/packages/peer/src/connection.c
@@ -480,8 +480,8 @@
 static void
 note_newer_process(struct sas_peer *peer, uint64_t incarnation)
 {
-    struct sas_member_news update = {.seat = peer->own_id,
-                                     .incarnation = incarnation};
+    struct sas_member_update update = {.member_id = peer->own_id,
+                                       .incarnation = incarnation};
     SasMembership_Merge(&peer->membership, &update, SasPeer_GetNow());
 }
 
@@ -512,7 +512,7 @@
         same_address += memcmp(other->address, connection->address, 16) == 0;
     }
     int total = 2 * peer->model->vm_count + SasPeer_SPARE_CONNECTIONS;
-    if (same_address >= members * SasPeer_CONNECTIONS_PER_SEAT ||
+    if (same_address >= members * SasPeer_CONNECTIONS_PER_MEMBER ||
         (int)peer->accepted->len >= total) {
         SasConnection_Close(connection, SAS_PEER_REFUSED_LIMIT);
         return false;
--- a/packages/peer/tests/test_peer.c
+++ b/packages/peer/tests/test_peer.c
@@ -50,8 +50,8 @@
 }
 
 static bool
-take_gossip(struct sas_peer_handler *handler, int member_id,
-            const struct sas_rpc_gossip *gossip)
+apply_gossip(struct sas_peer_handler *handler, int member_id,
+             const struct sas_rpc_gossip *gossip)
 {
     struct owner *owner = (struct owner *)handler;
     assert_int_equal(gossip->seat, member_id);
@@ -73,8 +73,8 @@
 }
 
 static bool
-take_config(struct sas_peer_handler *handler, int member_id,
-            const struct sas_rpc_config *config)
+apply_config(struct sas_peer_handler *handler, int member_id,
+             const struct sas_rpc_config *config)
 {
     struct owner *owner = (struct owner *)handler;
     (void)member_id;
@@ -95,8 +95,8 @@
 }
 
 static bool
-take_quarantines(struct sas_peer_handler *handler, int member_id,
-                 const struct sas_rpc_quarantine *entries, int count)
+apply_quarantines(struct sas_peer_handler *handler, int member_id,
+                  const struct sas_rpc_quarantine *entries, int count)
 {
     struct owner *owner = (struct owner *)handler;
     (void)member_id;
@@ -107,8 +107,8 @@
 }
 
 static bool
-take_leaving(struct sas_peer_handler *handler, int member_id,
-             const struct sas_rpc_leaving *leaving)
+apply_leaving(struct sas_peer_handler *handler, int member_id,
+              const struct sas_rpc_leaving *leaving)
 {
     struct owner *owner = (struct owner *)handler;
     (void)member_id;
@@ -142,12 +142,12 @@
     memset(owner, 0, sizeof(*owner));
     owner->handler = (struct sas_peer_handler){
         .fill_gossip = fill_gossip,
-        .take_gossip = take_gossip,
-        .provide_config = provide_config,
-        .take_config = take_config,
-        .answer_borrow = answer_borrow,
-        .take_quarantines = take_quarantines,
-        .take_leaving = take_leaving,
+        .on_gossip = apply_gossip,
+        .get_config = provide_config,
+        .on_config = apply_config,
+        .on_borrow = answer_borrow,
+        .on_quarantines = apply_quarantines,
+        .on_leaving = apply_leaving,
     };
     owner->random = g_rand_new_with_seed((guint32)member_id + 1);
     SasPeer_InitOptions(&options);
@@ -252,7 +252,7 @@
     start_all(9);
     assert_true(run_until(all_are_live_at_all));
     owners[4].version = 5;
-    SasPeer_NoteChange(owners[4].peer);
+    SasPeer_GossipSoon(owners[4].peer);
     assert_true(run_until(all_have_version_5));
     assert_true(owners[0].load_seen > 0);
     finish();
@@ -301,7 +301,7 @@
 
 static int answers;
 static uint64_t granted;
-static enum sas_code answer_code;
+static enum sas_error_code answer_code;
 
 static void
 on_grant(void *context, const struct sas_error *error,
@@ -325,8 +325,8 @@
     struct sas_rpc_borrow borrow = {.budget = 1, .loan = 9, .wanted = 4};
     answers = 0;
     granted = 0;
-    assert_int_equal(SasPeer_AskBorrow(owners[from].peer, to, &borrow, 0,
-                                       on_grant, NULL, NULL),
+    assert_int_equal(SasPeer_CallBorrow(owners[from].peer, to, &borrow, 0,
+                                        on_grant, NULL, NULL),
                      0);
 }
 
@@ -339,9 +339,9 @@
     assert_true(run_until(is_answered));
     assert_int_equal(granted, 4);
     assert_int_equal(owners[1].lent, 4);
-    assert_int_equal(SasPeer_AskBorrow(owners[0].peer, 0,
-                                       &(struct sas_rpc_borrow){0}, 0,
-                                       on_grant, NULL, NULL),
+    assert_int_equal(SasPeer_CallBorrow(owners[0].peer, 0,
+                                        &(struct sas_rpc_borrow){0}, 0,
+                                        on_grant, NULL, NULL),
                      -1);
     finish();
 }
@@ -367,8 +367,8 @@
     owners[1].version = 8;
     for (uint64_t have = 7; have <= 8; have++) {
         answers = 0;
-        assert_int_equal(SasPeer_AskConfig(owners[0].peer, 1, have, 0,
-                                           on_fetched, NULL, NULL),
+        assert_int_equal(SasPeer_CallConfig(owners[0].peer, 1, have, 0,
+                                            on_fetched, NULL, NULL),
                          0);
         assert_true(run_until(is_answered));
         assert_int_equal(fetched_number, have == 7 ? 8 : 0);
@@ -383,14 +383,14 @@
 {
     return SasMembership_GetState(SasPeer_GetMembership(owners[0].peer),
                                   model.vm_count - 1,
-                                  SasPeer_GetNow()) == SAS_MEMBER_GONE;
+                                  SasPeer_GetNow()) == SAS_MEMBER_DEAD;
 }
 
 static bool
 last_knows_that_it_was_replaced(void)
 {
     return SasPeer_GetMembership(owners[model.vm_count - 1].peer)
-               ->replaced_by == 5000;
+               ->newer_incarnation == 5000;
 }
 
 /* A process dies and a new one starts for the same member. The others detect
@@ -451,7 +451,7 @@
     }
     request_loan(0, 4);
     owners[0].version = 5;
-    SasPeer_NoteChange(owners[0].peer);
+    SasPeer_GossipSoon(owners[0].peer);
     assert_true(run_until(four_have_version_5));
     assert_true(run_until(is_answered));
     assert_int_equal(answer_code, SAS_EUNAVAILABLE);
@@ -635,7 +635,7 @@
 static bool
 late_answer_was_dropped(void)
 {
-    return SasPeer_GetCounter(owners[0].peer, SAS_PEER_ANSWERS_LATE) > 0;
+    return SasPeer_GetCounter(owners[0].peer, SAS_PEER_REPLIES_LATE) > 0;
 }
 
 /* A loan is granted, but the answer arrives after the borrower's timeout. The
@@ -710,8 +710,8 @@
     size_t size;
     size_t second_size;
     start_with_scripted_member_1();
-    assert_int_equal(SasPeer_AskBorrow(owners[0].peer, 1, &borrow, 0,
-                                       on_grant_pause, NULL, NULL),
+    assert_int_equal(SasPeer_CallBorrow(owners[0].peer, 1, &borrow, 0,
+                                        on_grant_pause, NULL, NULL),
                      0);
     request_loan(0, 1);
     answer_as_member_1(&script);
@@ -959,7 +959,7 @@
 test_connections_per_address_are_bounded(void **state)
 {
     (void)state;
-    int fds[2 * SasPeer_CONNECTIONS_PER_SEAT + 3] = {0};
+    int fds[2 * SasPeer_CONNECTIONS_PER_MEMBER + 3] = {0};
     int count = (int)(sizeof(fds) / sizeof(fds[0]));
     interval_ms = 1000000;
     start_all(2);
@@ -968,7 +968,7 @@
     }
     assert_true(run_until(some_were_refused));
     assert_int_equal(SasPeer_GetCounter(owners[0].peer, SAS_PEER_ACCEPTED),
-                     2 * SasPeer_CONNECTIONS_PER_SEAT);
+                     2 * SasPeer_CONNECTIONS_PER_MEMBER);
     for (int i = 0; i < count; i++) {
         close(fds[i]);
     }
