--- a/packages/gateway/src/mesh_gossip.c
+++ b/packages/gateway/src/mesh_gossip.c
@@ -125,7 +125,7 @@
 {
     SasPing_Add(&mesh->pings, member_id, SasMesh_Now(mesh));
     SasMesh_SendUpdates(mesh, SasMesh_GetVm(mesh, member_id),
-                        SAS_MESH_MAX_NEWS, true);
+                        SAS_MESH_MAX_UPDATES, true);
     if (!uv_is_active((uv_handle_t *)&mesh->reply_timer)) {
         uv_timer_start(&mesh->reply_timer, on_reply_timer, SasPing_TIMEOUT_MS,
                        SasPing_TIMEOUT_MS);
@@ -160,7 +160,7 @@
         }
         else {
             SasMesh_SendUpdates(mesh, SasMesh_GetVm(mesh, due.member_id),
-                                SAS_MESH_MAX_NEWS, true);
+                                SAS_MESH_MAX_UPDATES, true);
         }
     }
     if (mesh->pings.count == 0) {
@@ -205,7 +205,7 @@
     for (int member_id = OWN_ID + 1; member_id < (int)mesh->vms->len;
          member_id++) {
         SasMesh_SendUpdates(mesh, SasMesh_GetVm(mesh, member_id),
-                            SAS_MESH_MAX_NEWS, false);
+                            SAS_MESH_MAX_UPDATES, false);
     }
 }
 
@@ -233,14 +233,14 @@
 SasMesh_ReportEjection(struct sas_mesh *mesh,
                        const struct sas_mesh_ejection *ejection, int region)
 {
-    sas_mesh_trip trip = {
+    sas_mesh_wire_ejection row = {
         .server_hash = ejection->server_hash,
         .left_ms = (u_int)ejection->left_ms,
         .restarted = ejection->restarted,
         .grey = ejection->grey_failure,
     };
     sas_mesh_message message = {
-        .trips = {.trips_len = 1, .trips_val = &trip},
+        .ejections = {.ejections_len = 1, .ejections_val = &row},
     };
     send_via(mesh, &message,
              SasMesh_FindFirst(mesh, ejection->server_hash, region), false);
@@ -251,13 +251,14 @@
                        const struct sas_mesh_failure_report *report,
                        int region)
 {
-    sas_mesh_loss loss = {
+    sas_mesh_wire_failure_report row = {
         .server_hash = report->server_hash,
         .failed = (u_int)report->failed,
         .answered = (u_int)report->answered,
     };
     sas_mesh_message message = {
-        .losses = {.losses_len = 1, .losses_val = &loss},
+        .failure_reports = {.failure_reports_len = 1,
+                            .failure_reports_val = &row},
     };
     int prober = SasMesh_FindFirst(mesh, report->server_hash, region);
     if (prober != SasModel_NONE && prober != OWN_ID) {
@@ -265,21 +266,22 @@
     }
 }
 
-/* Points the message to its suspects, a copy of the rows that fit. */
+/* Points the message to its reports, a copy of the rows that fit. */
 static void
-fill_suspects(sas_mesh_message *message, sas_mesh_suspect *suspects,
-              const struct sas_mesh_poison_update *rows, int count)
+fill_poison_reports(sas_mesh_message *message,
+                    sas_mesh_wire_poison_report *reports,
+                    const struct sas_mesh_poison_update *rows, int count)
 {
-    count = MIN(count, SAS_MESH_MAX_SUSPECTS);
+    count = MIN(count, SAS_MESH_MAX_POISON_REPORTS);
     for (int i = 0; i < count; i++) {
-        suspects[i].high = rows[i].fingerprint.high;
-        suspects[i].low = rows[i].fingerprint.low;
-        suspects[i].crash = rows[i].crash;
-        suspects[i].alone = rows[i].isolated;
-        suspects[i].survived = rows[i].completed;
+        reports[i].high = rows[i].fingerprint.high;
+        reports[i].low = rows[i].fingerprint.low;
+        reports[i].crash = rows[i].crash;
+        reports[i].isolated = rows[i].isolated;
+        reports[i].completed = rows[i].completed;
     }
-    message->suspects.suspects_len = (u_int)count;
-    message->suspects.suspects_val = suspects;
+    message->poison_reports.poison_reports_len = (u_int)count;
+    message->poison_reports.poison_reports_val = reports;
 }
 
 void
@@ -290,9 +292,9 @@
     if (count == 0) {
         return;
     }
-    sas_mesh_suspect suspects[SAS_MESH_MAX_SUSPECTS];
+    sas_mesh_wire_poison_report reports[SAS_MESH_MAX_POISON_REPORTS];
     sas_mesh_message message = {0};
-    fill_suspects(&message, suspects, rows, count);
+    fill_poison_reports(&message, reports, rows, count);
     int first =
         SasMesh_FindFirst(mesh, rows[0].fingerprint.low, SasModel_NONE);
     send_via(mesh, &message, first, to_all);
@@ -302,35 +304,36 @@
 SasMesh_SendRecord(struct sas_mesh *mesh,
                    const struct sas_quarantine_entry *entry, int i)
 {
-    sas_mesh_record records[SAS_MESH_MAX_SUSPECTS];
-    int count = MIN(entry->crash_count, SAS_MESH_MAX_SUSPECTS);
+    sas_mesh_wire_crash_record records[SAS_MESH_MAX_POISON_REPORTS];
+    int count = MIN(entry->crash_count, SAS_MESH_MAX_POISON_REPORTS);
     for (int j = 0; j < count; j++) {
         records[j].high = entry->fingerprint.high;
         records[j].low = entry->fingerprint.low;
         records[j].crash = entry->crashes[j].id;
-        records[j].alone = entry->crashes[j].isolated;
+        records[j].isolated = entry->crashes[j].isolated;
         records[j].cleared = entry->crashes[j].cleared;
         records[j].age_ms = (u_int)CLAMP(entry->crashed_at, 0, G_MAXINT32);
     }
     sas_mesh_message message = {0};
     sas_mesh_trailer trailer = {
-        .records = {.records_len = (u_int)count, .records_val = records},
+        .crash_records = {.crash_records_len = (u_int)count,
+                          .crash_records_val = records},
     };
     send_with_records(mesh, SasMesh_GetVm(mesh, i), &message, &trailer);
 }
 
 /* Datagrams. */
 
-static sas_mesh_news
+static sas_mesh_wire_update
 encode_update(const struct sas_mesh *mesh,
               const struct sas_member_update *update)
 {
-    sas_mesh_news row = {
+    sas_mesh_wire_update row = {
         .name_hash = SasMesh_GetVm(mesh, update->member_id)->name_hash,
         .incarnation = update->incarnation,
         .config_version = update->config_version,
         .heartbeat = update->heartbeat,
-        .doubt = update->suspicion,
+        .suspicion = update->suspicion,
         .age_ms = (u_int)update->age_ms,
         .leaving = update->leaving,
     };
@@ -338,10 +341,10 @@
 }
 
 static void
-fill_updates(struct sas_mesh *mesh, sas_mesh_news *updates, int max,
+fill_updates(struct sas_mesh *mesh, sas_mesh_wire_update *updates, int max,
              u_int *count)
 {
-    struct sas_member_update digest[SAS_MESH_MAX_NEWS];
+    struct sas_member_update digest[SAS_MESH_MAX_UPDATES];
     int filled = SasMembership_FillDigest(&mesh->table, mesh->random,
                                           SasMesh_Now(mesh), digest, max);
     for (int i = 0; i < filled; i++) {
@@ -418,10 +421,11 @@
     message->sender.caller_port = (u_int)own->caller.port;
     message->sender.peer_port = (u_int)own->peer.port;
     message->sender.incarnation = own->incarnation;
-    message->sender.strength = (u_int)own->capacity;
+    message->sender.capacity = (u_int)own->capacity;
     message->sender.sheet_version = (u_quad_t)mesh->sheet_version;
-    message->sender.changes.changes_len = count_changes(mesh);
-    message->sender.changes.changes_val = (u_quad_t *)mesh->changes;
+    message->sender.table_versions.table_versions_len = count_changes(mesh);
+    message->sender.table_versions.table_versions_val =
+        (u_quad_t *)mesh->changes;
     message->sent_ms = (u_quad_t)SasWall_GetMs();
     trailer->records_digest = mesh->records_digest;
     char bytes[MAX_DATAGRAM];
@@ -451,12 +455,12 @@
 SasMesh_SendUpdates(struct sas_mesh *mesh, const struct vm *vm, int max,
                     bool wants_reply)
 {
-    sas_mesh_news updates[SAS_MESH_MAX_NEWS];
+    sas_mesh_wire_update updates[SAS_MESH_MAX_UPDATES];
     sas_mesh_message message = {
         .wants_reply = wants_reply,
-        .news = {.news_val = updates},
+        .updates = {.updates_val = updates},
     };
-    fill_updates(mesh, updates, max, &message.news.news_len);
+    fill_updates(mesh, updates, max, &message.updates.updates_len);
     send_message(mesh, vm, &message);
 }
 
@@ -477,9 +481,9 @@
     struct sas_member_update update;
     SasMembership_GetUpdate(&mesh->table, member_id, SasMesh_Now(mesh),
                             &update);
-    sas_mesh_news row = encode_update(mesh, &update);
+    sas_mesh_wire_update row = encode_update(mesh, &update);
     sas_mesh_message message = {
-        .news = {.news_len = 1, .news_val = &row},
+        .updates = {.updates_len = 1, .updates_val = &row},
     };
     /* Also to the member itself: if it is live, it refutes a suspicion. */
     for (int to = OWN_ID + 1; to < (int)mesh->vms->len; to++) {
@@ -499,12 +503,12 @@
     if (SasHttp_GetSockaddr(&sender->peer, &vm.peer) != 0) {
         return;
     }
-    sas_mesh_news row = {
+    sas_mesh_wire_update row = {
         .name_hash = member->name_hash,
         .incarnation = member->facts.incarnation,
     };
     sas_mesh_message message = {
-        .news = {.news_len = 1, .news_val = &row},
+        .updates = {.updates_len = 1, .updates_val = &row},
     };
     send_message(mesh, &vm, &message);
 }
@@ -529,28 +533,31 @@
 static void
 notify_listener(struct sas_mesh *mesh, const sas_mesh_message *message)
 {
-    for (u_int i = 0; i < message->trips.trips_len; i++) {
-        const sas_mesh_trip *trip = &message->trips.trips_val[i];
+    for (u_int i = 0; i < message->ejections.ejections_len; i++) {
+        const sas_mesh_wire_ejection *row =
+            &message->ejections.ejections_val[i];
         struct sas_mesh_ejection ejection = {
-            .server_hash = trip->server_hash,
-            .left_ms = trip->left_ms,
-            .restarted = trip->restarted,
-            .grey_failure = trip->grey,
+            .server_hash = row->server_hash,
+            .left_ms = row->left_ms,
+            .restarted = row->restarted,
+            .grey_failure = row->grey,
         };
         mesh->listener->on_ejection(mesh->listener, &ejection);
     }
-    for (u_int i = 0; i < message->suspects.suspects_len; i++) {
-        const sas_mesh_suspect *row = &message->suspects.suspects_val[i];
+    for (u_int i = 0; i < message->poison_reports.poison_reports_len; i++) {
+        const sas_mesh_wire_poison_report *row =
+            &message->poison_reports.poison_reports_val[i];
         struct sas_mesh_poison_update update = {
             .fingerprint = {row->high, row->low},
             .crash = row->crash,
-            .isolated = row->alone,
-            .completed = row->survived,
+            .isolated = row->isolated,
+            .completed = row->completed,
         };
         mesh->listener->on_poison_update(mesh->listener, &update);
     }
-    for (u_int i = 0; i < message->losses.losses_len; i++) {
-        const sas_mesh_loss *row = &message->losses.losses_val[i];
+    for (u_int i = 0; i < message->failure_reports.failure_reports_len; i++) {
+        const sas_mesh_wire_failure_report *row =
+            &message->failure_reports.failure_reports_val[i];
         struct sas_mesh_failure_report report = {
             .server_hash = row->server_hash,
             .failed = (int)MIN(row->failed, MAX_REPORTED),
@@ -561,7 +568,7 @@
 }
 
 static void
-apply_update(struct sas_mesh *mesh, const sas_mesh_news *row)
+apply_update(struct sas_mesh *mesh, const sas_mesh_wire_update *row)
 {
     int64_t now_ms = SasMesh_Now(mesh);
     struct sas_member_update update = {
@@ -570,7 +577,7 @@
         .incarnation = row->incarnation,
         .config_version = row->config_version,
         .heartbeat = row->heartbeat,
-        .suspicion = row->doubt,
+        .suspicion = row->suspicion,
         .age_ms = row->age_ms,
     };
     if (update.member_id == SasModel_NONE) {
@@ -594,8 +601,8 @@
 static void
 apply_updates(struct sas_mesh *mesh, const sas_mesh_message *message)
 {
-    for (u_int i = 0; i < message->news.news_len; i++) {
-        apply_update(mesh, &message->news.news_val[i]);
+    for (u_int i = 0; i < message->updates.updates_len; i++) {
+        apply_update(mesh, &message->updates.updates_val[i]);
     }
 }
 
@@ -606,8 +613,9 @@
     if (mesh->table_listener == NULL) {
         return;
     }
-    for (u_int i = 0; i < sender->changes.changes_len; i++) {
-        int64_t version = (int64_t)sender->changes.changes_val[i];
+    for (u_int i = 0; i < sender->table_versions.table_versions_len; i++) {
+        int64_t version =
+            (int64_t)sender->table_versions.table_versions_val[i];
         if (version > 0) {
             mesh->table_listener->on_change(mesh->table_listener, (int)i,
                                             version, announcer);
@@ -619,12 +627,13 @@
 static void
 apply_records(const struct sas_mesh *mesh, const sas_mesh_trailer *trailer)
 {
-    int count = (int)MIN(trailer->records.records_len,
+    int count = (int)MIN(trailer->crash_records.crash_records_len,
                          (u_int)SasQuarantine_MAX_CRASHES);
     if (count == 0) {
         return;
     }
-    const sas_mesh_record *rows = trailer->records.records_val;
+    const sas_mesh_wire_crash_record *rows =
+        trailer->crash_records.crash_records_val;
     struct sas_quarantine_entry entry = {
         .fingerprint = {rows[0].high, rows[0].low},
         .crash_count = count,
@@ -632,7 +641,7 @@
     };
     for (int i = 0; i < count; i++) {
         entry.crashes[i].id = rows[i].crash;
-        entry.crashes[i].isolated = rows[i].alone;
+        entry.crashes[i].isolated = rows[i].isolated;
         entry.crashes[i].cleared = rows[i].cleared;
     }
     mesh->listener->on_record(mesh->listener, &entry);
@@ -641,7 +650,7 @@
 static bool
 is_join(const sas_mesh_message *message)
 {
-    return message->news.news_len <= JOIN_UPDATES;
+    return message->updates.updates_len <= JOIN_UPDATES;
 }
 
 /* Records are sent to a member with another digest until it has the same: the
@@ -676,7 +685,7 @@
         .caller.port = (int)message->sender.caller_port,
         .peer.port = (int)message->sender.peer_port,
         .incarnation = message->sender.incarnation,
-        .capacity = message->sender.strength,
+        .capacity = message->sender.capacity,
     };
     g_strlcpy(facts.name, message->sender.name, sizeof(facts.name));
     g_strlcpy(facts.zone, message->sender.zone, sizeof(facts.zone));
@@ -707,7 +716,7 @@
     }
     else if (message->wants_reply) {
         SasMesh_SendUpdates(mesh, SasMesh_GetVm(mesh, member_id),
-                            SAS_MESH_MAX_NEWS, false);
+                            SAS_MESH_MAX_UPDATES, false);
     }
 }
 
--- a/packages/node/src/lending.c
+++ b/packages/node/src/lending.c
@@ -543,7 +543,7 @@
     int member_id = loan->member_id;
     uint64_t id = loan->id;
     int64_t left = SasBudget_Return(&entry->core, id, SasPeer_GetNow());
-    struct sas_rpc_return back = {
+    struct sas_rpc_loan_return back = {
         .budget = entry->id,
         .epoch = (uint64_t)entry->core.epoch,
         .loan = id,
@@ -665,7 +665,7 @@
     for (guint i = 0; i < count; i++) {
         struct budget_entry *entry = get_entry(lending, (int)i);
         lending->gossip_budgets[i].id = entry->id;
-        lending->gossip_budgets[i].unused =
+        lending->gossip_budgets[i].lendable =
             (uint64_t)SasBudget_GetUnused(&entry->core, now);
         lending->gossip_budgets[i].epoch =
             SasBudget_GetAnnounced(&entry->core, now);
@@ -684,7 +684,7 @@
         int budget = find_entry(lending, hint->id);
         if (budget != SasModel_NONE) {
             SasBudget_Hint(&get_entry(lending, budget)->core, member_id,
-                           (int64_t)MIN(hint->unused, INT64_MAX / 2),
+                           (int64_t)MIN(hint->lendable, INT64_MAX / 2),
                            hint->epoch, now);
         }
     }
@@ -711,7 +711,7 @@
 
 void
 SasLending_AcceptReturn(struct sas_lending *lending, int member_id,
-                        const struct sas_rpc_return *back)
+                        const struct sas_rpc_loan_return *back)
 {
     int budget = find_entry(lending, back->budget);
     if (budget != SasModel_NONE && back->units <= INT64_MAX / 2) {
--- a/packages/node/src/lending.h
+++ b/packages/node/src/lending.h
@@ -89,7 +89,7 @@
 uint64_t SasLending_AnswerBorrow(struct sas_lending *lending, int member_id,
                                  const struct sas_rpc_borrow *borrow);
 void SasLending_AcceptReturn(struct sas_lending *lending, int member_id,
-                             const struct sas_rpc_return *back);
+                             const struct sas_rpc_loan_return *back);
 
 /* Keeps in *rows the budgets of which this node holds no loan from that
  * member. */
--- a/packages/node/src/peer_sync.c
+++ b/packages/node/src/peer_sync.c
@@ -48,7 +48,7 @@
 static uint64_t answer_borrow(struct sas_peer_handler *handler, int member_id,
                               const struct sas_rpc_borrow *borrow);
 static int accept_return(struct sas_peer_handler *handler, int member_id,
-                         const struct sas_rpc_return *back);
+                         const struct sas_rpc_loan_return *back);
 static void answer_disown(struct sas_peer_handler *handler, int member_id,
                           struct sas_rpc_disown_list *rows);
 static void on_tick(uv_timer_t *timer);
@@ -227,7 +227,7 @@
     const struct sas_config *current =
         SasConfigStore_GetCurrent(sync->options.config_store);
     if (current == NULL || (uint64_t)current->version <= have) {
-        config->number = 0;
+        config->config_version = 0;
         return 0;
     }
     free(sync->config_text);
@@ -237,7 +237,7 @@
     if (size > SAS_RPC_MAX_CONFIG) {
         return -1; /* too large for a message; peers read it from the store */
     }
-    config->number = (uint64_t)current->version;
+    config->config_version = (uint64_t)current->version;
     config->base = 0;
     config->bytes.bytes_val = sync->config_text;
     config->bytes.bytes_len = (u_int)size;
@@ -328,7 +328,7 @@
 
 static int
 accept_return(struct sas_peer_handler *handler, int member_id,
-              const struct sas_rpc_return *back)
+              const struct sas_rpc_loan_return *back)
 {
     struct sas_peer_sync *sync = (struct sas_peer_sync *)handler;
     SasLending_AcceptReturn(sync->options.lending, member_id, back);
--- a/packages/node/src/poison_guard.c
+++ b/packages/node/src/poison_guard.c
@@ -154,7 +154,7 @@
         row->high = entry.fingerprint.high;
         row->low = entry.fingerprint.low;
         row->left_ms = (u_int)entry.left_ms;
-        row->trial_ms = (u_int)entry.isolated_ms;
+        row->isolated_ms = (u_int)entry.isolated_ms;
         row->crashes.crashes_len = (u_int)entry.crash_count;
         row->crashes.crashes_val = guard->crashes[count];
         for (int i = 0; i < entry.crash_count; i++) {
@@ -185,14 +185,14 @@
         struct sas_quarantine_entry entry = {
             .fingerprint = {row->high, row->low},
             .left_ms = MIN(row->left_ms, SasQuarantine_LIFE_MS),
-            .isolated_ms = MIN(row->trial_ms, SasForward_MAX_DEADLINE_MS),
+            .isolated_ms = MIN(row->isolated_ms, SasForward_MAX_DEADLINE_MS),
         };
         u_int crashes =
             MIN(row->crashes.crashes_len, (u_int)SasQuarantine_MAX_CRASHES);
         for (u_int j = 0; j < crashes; j++) {
             const struct sas_rpc_crash *crash = &row->crashes.crashes_val[j];
             entry.crashes[entry.crash_count++] =
-                (struct sas_crash){crash->id, crash->alone, crash->cleared};
+                (struct sas_crash){crash->id, crash->isolated, crash->cleared};
         }
         SasQuarantine_Merge(&guard->core, &entry, get_now(guard));
     }
--- a/packages/peer/include/sas/peer.h
+++ b/packages/peer/include/sas/peer.h
@@ -59,7 +59,7 @@
     uint64_t (*on_borrow)(struct sas_peer_handler *handler, int member_id,
                           const struct sas_rpc_borrow *borrow);
     int (*on_return)(struct sas_peer_handler *handler, int member_id,
-                     const struct sas_rpc_return *back);
+                     const struct sas_rpc_loan_return *back);
     /* Leaves those rows in the list of which no loan of the member is held
      * here. */
     void (*on_disown)(struct sas_peer_handler *handler, int member_id,
@@ -167,9 +167,9 @@
                        SasPeer_AnswerFn *callback, void *context,
                        struct sas_error *error);
 int SasPeer_CallReturn(struct sas_peer *peer, int member_id,
-                       const struct sas_rpc_return *back, int64_t timeout_ms,
-                       SasPeer_AnswerFn *callback, void *context,
-                       struct sas_error *error);
+                       const struct sas_rpc_loan_return *back,
+                       int64_t timeout_ms, SasPeer_AnswerFn *callback,
+                       void *context, struct sas_error *error);
 
 int SasPeer_CallDisown(struct sas_peer *peer, int member_id,
                        const struct sas_rpc_disown_list *rows,
--- a/packages/peer/src/gossip.c
+++ b/packages/peer/src/gossip.c
@@ -65,10 +65,10 @@
                    SasPeer_AnswerFn *callback, void *context,
                    struct sas_error *error)
 {
-    struct sas_rpc_seat seats[SasMembership_DIGEST_MEMBERS];
+    struct sas_rpc_member members[SasMembership_DIGEST_MEMBERS];
     union sas_proto_body body;
     memset(&body, 0, sizeof(body));
-    SasGossip_Fill(peer, &body.gossip, seats);
+    SasGossip_Fill(peer, &body.gossip, members);
     struct pending_call *pending = new_pending_call(peer, member_id);
     pending->callback = callback;
     pending->context = context;
@@ -117,7 +117,7 @@
 {
     union sas_proto_body body;
     memset(&body, 0, sizeof(body));
-    body.leaving.seat = SAS_RPC_NO_SEAT;
+    body.leaving.member_id = SAS_RPC_NO_MEMBER;
     body.leaving.backends.backends_len = (u_int)count;
     body.leaving.backends.backends_val =
         (struct sas_rpc_leaving_backend *)backends;
@@ -133,7 +133,7 @@
     }
     union sas_proto_body body;
     memset(&body, 0, sizeof(body));
-    body.leaving.seat = (u_int)peer->own_id;
+    body.leaving.member_id = (u_int)peer->own_id;
     body.leaving.incarnation = peer->incarnation;
     send_to_random_members(peer, SAS_RPC_LEAVE, &body,
                            SasPeer_EXTRA_ROUND_FANOUT);
@@ -143,7 +143,7 @@
 
 void
 SasGossip_Fill(struct sas_peer *peer, struct sas_rpc_gossip *gossip,
-               struct sas_rpc_seat *seats)
+               struct sas_rpc_member *members)
 {
     memset(gossip, 0, sizeof(*gossip));
     if (peer->handler->fill_gossip != NULL) {
@@ -154,7 +154,7 @@
     }
     note_own_version(peer, gossip->config_version);
     const struct sas_member *self = &peer->membership.members[peer->own_id];
-    gossip->seat = (u_int)peer->own_id;
+    gossip->member_id = (u_int)peer->own_id;
     gossip->incarnation = peer->incarnation;
     gossip->state = self->leaving ? SAS_RPC_LEAVING : SAS_RPC_LIVE;
     struct sas_member_update update[SasMembership_DIGEST_MEMBERS];
@@ -162,18 +162,18 @@
         &peer->membership, peer->options.random, SasPeer_GetNow(), update,
         SasMembership_DIGEST_MEMBERS);
     for (int i = 0; i < count; i++) {
-        seats[i] = (struct sas_rpc_seat){
-            .seat = (u_int)update[i].member_id,
+        members[i] = (struct sas_rpc_member){
+            .member_id = (u_int)update[i].member_id,
             .state = update[i].leaving ? SAS_RPC_LEAVING : SAS_RPC_LIVE,
             .incarnation = update[i].incarnation,
             .config_version = update[i].config_version,
             .heartbeat = update[i].heartbeat,
-            .doubt = update[i].suspicion,
+            .suspicion = update[i].suspicion,
             .age_ms = (u_int)MIN(update[i].age_ms, (int64_t)UINT32_MAX),
         };
     }
-    gossip->seats.seats_len = (u_int)count;
-    gossip->seats.seats_val = seats;
+    gossip->members.members_len = (u_int)count;
+    gossip->members.members_val = members;
 }
 
 void
@@ -212,10 +212,10 @@
 {
     bool is_new = peer->handler->on_leaving != NULL &&
                   peer->handler->on_leaving(peer->handler, member_id, leaving);
-    if (leaving->seat < (u_int)peer->model->vm_count &&
-        leaving->seat != (u_int)peer->own_id) {
+    if (leaving->member_id < (u_int)peer->model->vm_count &&
+        leaving->member_id != (u_int)peer->own_id) {
         struct sas_member_update update = {
-            .member_id = (int)leaving->seat,
+            .member_id = (int)leaving->member_id,
             .leaving = true,
             .incarnation = leaving->incarnation,
         };
@@ -314,18 +314,18 @@
 {
     int64_t now_ms = SasPeer_GetNow();
     int changes = 0;
-    for (u_int i = 0; i < gossip->seats.seats_len; i++) {
-        const struct sas_rpc_seat *row = &gossip->seats.seats_val[i];
-        if (row->seat >= (u_int)peer->model->vm_count) {
+    for (u_int i = 0; i < gossip->members.members_len; i++) {
+        const struct sas_rpc_member *row = &gossip->members.members_val[i];
+        if (row->member_id >= (u_int)peer->model->vm_count) {
             continue;
         }
         struct sas_member_update update = {
-            .member_id = (int)row->seat,
+            .member_id = (int)row->member_id,
             .leaving = row->state == SAS_RPC_LEAVING,
             .incarnation = row->incarnation,
             .config_version = row->config_version,
             .heartbeat = row->heartbeat,
-            .suspicion = row->doubt,
+            .suspicion = row->suspicion,
             .age_ms = row->age_ms,
         };
         changes |= SasMembership_Merge(&peer->membership, &update, now_ms);
@@ -394,7 +394,7 @@
         }
     }
     if (error != NULL || peer->closing || peer->handler->on_config == NULL ||
-        body->config.number <= peer->own_version) {
+        body->config.config_version <= peer->own_version) {
         return;
     }
     if (peer->handler->on_config(peer->handler, pending->member_id,
--- a/packages/peer/src/internal.h
+++ b/packages/peer/src/internal.h
@@ -139,9 +139,9 @@
  * starts an extra round for what is new. */
 void SasGossip_Apply(struct sas_peer *peer, int member_id,
                      const struct sas_rpc_gossip *gossip);
-/* The own gossip; seats holds SasMembership_DIGEST_MEMBERS rows. */
+/* The own gossip; members holds SasMembership_DIGEST_MEMBERS rows. */
 void SasGossip_Fill(struct sas_peer *peer, struct sas_rpc_gossip *gossip,
-                    struct sas_rpc_seat *seats);
+                    struct sas_rpc_member *members);
 void SasGossip_ApplyQuarantines(struct sas_peer *peer, int member_id,
                                 const struct sas_rpc_quarantine_list *list);
 void SasGossip_ApplyLeaving(struct sas_peer *peer, int member_id,
--- a/packages/peer/src/peer.c
+++ b/packages/peer/src/peer.c
@@ -60,7 +60,8 @@
 static void close_oldest_connection(struct sas_connection *connection);
 static int serve(struct sas_connection *connection,
                  const struct sas_proto_message *call,
-                 struct sas_proto_message *reply, struct sas_rpc_seat *seats);
+                 struct sas_proto_message *reply,
+                 struct sas_rpc_member *members);
 static int serve_config(struct sas_peer *peer, uint64_t have,
                         struct sas_rpc_config *config);
 static int serve_borrow(struct sas_peer *peer, int member_id,
@@ -70,7 +71,7 @@
                         const struct sas_rpc_disown_list *rows,
                         struct sas_rpc_disown_list *clear);
 static int serve_return(struct sas_peer *peer, int member_id,
-                        const struct sas_rpc_return *back);
+                        const struct sas_rpc_loan_return *back);
 
 /* Start and end */
 
@@ -188,7 +189,7 @@
 
 int
 SasPeer_CallReturn(struct sas_peer *peer, int member_id,
-                   const struct sas_rpc_return *back, int64_t timeout_ms,
+                   const struct sas_rpc_loan_return *back, int64_t timeout_ms,
                    SasPeer_AnswerFn *callback, void *context,
                    struct sas_error *error)
 {
@@ -260,7 +261,7 @@
         .status = SUCCESS,
     };
     close_oldest_connection(connection);
-    struct sas_rpc_seat seats[SasMembership_DIGEST_MEMBERS];
+    struct sas_rpc_member members[SasMembership_DIGEST_MEMBERS];
     bool decoded = false;
     if (message->procedure <= SAS_RPC_HELLO ||
         message->procedure > SAS_RPC_DISOWN) {
@@ -274,7 +275,7 @@
     else {
         decoded = true;
         SasPeer_Count(peer, SAS_PEER_SERVED);
-        if (serve(connection, message, &reply, seats) < 0) {
+        if (serve(connection, message, &reply, members) < 0) {
             reply.status = SYSTEM_ERR;
         }
     }
@@ -466,14 +467,14 @@
 
 static int
 serve(struct sas_connection *connection, const struct sas_proto_message *call,
-      struct sas_proto_message *reply, struct sas_rpc_seat *seats)
+      struct sas_proto_message *reply, struct sas_rpc_member *members)
 {
     struct sas_peer *peer = connection->peer;
     int member_id = connection->member_id;
     switch (call->procedure) {
     case SAS_RPC_GOSSIP:
         SasGossip_Apply(peer, member_id, &call->body.gossip);
-        SasGossip_Fill(peer, &reply->body.gossip, seats);
+        SasGossip_Fill(peer, &reply->body.gossip, members);
         return 0;
     case SAS_RPC_FETCH_CONFIG:
         return serve_config(peer, call->body.fetch.have_version,
@@ -536,7 +537,7 @@
 
 static int
 serve_return(struct sas_peer *peer, int member_id,
-             const struct sas_rpc_return *back)
+             const struct sas_rpc_loan_return *back)
 {
     if (peer->handler->on_return == NULL) {
         return -1;
--- a/packages/peer/tests/test_peer.c
+++ b/packages/peer/tests/test_peer.c
@@ -54,7 +54,7 @@
              const struct sas_rpc_gossip *gossip)
 {
     struct owner *owner = (struct owner *)handler;
-    assert_int_equal(gossip->seat, member_id);
+    assert_int_equal(gossip->member_id, member_id);
     owner->load_seen += gossip->loads.loads_val[0].running;
     return false;
 }
@@ -65,7 +65,7 @@
 {
     struct owner *owner = (struct owner *)handler;
     if (owner->version > have) {
-        config->number = owner->version;
+        config->config_version = owner->version;
         config->bytes.bytes_val = (char *)"{\"rows\":[]}";
         config->bytes.bytes_len = 11;
     }
@@ -79,7 +79,7 @@
     struct owner *owner = (struct owner *)handler;
     (void)member_id;
     assert_int_equal(config->bytes.bytes_len, 11);
-    owner->version = config->number;
+    owner->version = config->config_version;
     return true;
 }
 
@@ -346,7 +346,7 @@
     finish();
 }
 
-static uint64_t fetched_number;
+static uint64_t fetched_version;
 
 static void
 on_fetched(void *context, const struct sas_error *error,
@@ -355,7 +355,7 @@
     (void)context;
     assert_null(error);
     answers++;
-    fetched_number = body->config.number;
+    fetched_version = body->config.config_version;
 }
 
 static void
@@ -371,7 +371,7 @@
                                             on_fetched, NULL, NULL),
                          0);
         assert_true(run_until(is_answered));
-        assert_int_equal(fetched_number, have == 7 ? 8 : 0);
+        assert_int_equal(fetched_version, have == 7 ? 8 : 0);
     }
     finish();
 }
@@ -814,7 +814,7 @@
     struct script new;
     struct sas_proto_message reply = {0};
     struct sas_rpc_load load = {0};
-    struct sas_rpc_seat row = {.seat = 1, .incarnation = 3000};
+    struct sas_rpc_member row = {.member_id = 1, .incarnation = 3000};
     interval_ms = 1000000;
     prepare(2);
     start_owner(0, 1000, key);
@@ -823,10 +823,10 @@
     struct sas_proto_message gossip = {
         .xid = 2,
         .procedure = SAS_RPC_GOSSIP,
-        .body.gossip = {.seat = 1,
+        .body.gossip = {.member_id = 1,
                         .incarnation = 3000,
                         .loads = {1, &load},
-                        .seats = {1, &row}},
+                        .members = {1, &row}},
     };
     send_message(&new, &gossip);
     assert_true(receive(&new, &reply));
--- a/packages/proto/include/sas/proto.h
+++ b/packages/proto/include/sas/proto.h
@@ -51,7 +51,7 @@
     struct sas_rpc_config config; /* reply to fetch */
     struct sas_rpc_borrow borrow;
     struct sas_rpc_grant grant; /* reply to borrow */
-    struct sas_rpc_return give_back;
+    struct sas_rpc_loan_return give_back;
     struct sas_rpc_quarantine_list quarantine;
     struct sas_rpc_leaving leaving;
     struct sas_rpc_disown_list disown; /* call and reply */
--- a/packages/proto/mesh.x
+++ b/packages/proto/mesh.x
@@ -6,10 +6,10 @@
  */
 
 const SAS_MESH_FORMAT = 3;
-const SAS_MESH_MAX_NEWS = 24;
-const SAS_MESH_MAX_TRIPS = 8;
-const SAS_MESH_MAX_SUSPECTS = 8;
-const SAS_MESH_MAX_LOSSES = 8;
+const SAS_MESH_MAX_UPDATES = 24;
+const SAS_MESH_MAX_EJECTIONS = 8;
+const SAS_MESH_MAX_POISON_REPORTS = 8;
+const SAS_MESH_MAX_FAILURE_REPORTS = 8;
 const SAS_MESH_MAX_TABLES = 4;
 const SAS_MESH_MAX_TEXT = 47; /* bytes of a string */
 
@@ -21,28 +21,28 @@
     unsigned int caller_port;
     unsigned int peer_port;
     unsigned hyper incarnation;
-    unsigned int strength; /* its capacity, requests/s */
+    unsigned int capacity; /* requests/s */
     unsigned hyper sheet_version; /* highest operators' sheet it knows of */
     /* Newest version that it has of each table that all entry VMs follow. */
-    unsigned hyper changes<SAS_MESH_MAX_TABLES>;
+    unsigned hyper table_versions<SAS_MESH_MAX_TABLES>;
 };
 
-/* Gossip: what the sender knows of an entry VM, itself included. doubt is the
- * suspicion: a heartbeat above it refutes it; 0: not suspected. age_ms is the
- * age of the heartbeat. */
-struct sas_mesh_news {
+/* Gossip: what the sender knows of an entry VM, itself included. A heartbeat
+ * above the suspicion refutes it; 0: not suspected. age_ms is the age of the
+ * heartbeat. */
+struct sas_mesh_wire_update {
     unsigned hyper name_hash;
     unsigned hyper incarnation;
     unsigned hyper config_version;
     unsigned int heartbeat;
-    unsigned int doubt;
+    unsigned int suspicion;
     unsigned int age_ms;
     bool leaving;
 };
 
 /* The sender has ejected a backend server for left_ms, because it failed, was
  * unresponsive or is slow; left_ms 0: the server has recovered. */
-struct sas_mesh_trip {
+struct sas_mesh_wire_ejection {
     unsigned hyper server_hash;
     unsigned int left_ms;
     bool restarted; /* recovered after it refused connections */
@@ -50,19 +50,20 @@
 };
 
 /* A suspected poison request, by its fingerprint: it was running when a
- * backend server crashed. alone: nothing else ran on that server. survived:
- * it has since run to a complete response; crash and alone are not used. */
-struct sas_mesh_suspect {
+ * backend server crashed. isolated: nothing else ran on that server.
+ * completed: it has since run to a complete response; crash and isolated are
+ * not used. */
+struct sas_mesh_wire_poison_report {
     unsigned hyper high;
     unsigned hyper low;
     unsigned hyper crash;
-    bool alone;
-    bool survived;
+    bool isolated;
+    bool completed;
 };
 
 /* Failure report for the prober of a backend server: how many requests of the
  * sender the server failed and answered since the sender's last report. */
-struct sas_mesh_loss {
+struct sas_mesh_wire_failure_report {
     unsigned hyper server_hash;
     unsigned int failed;
     unsigned int answered;
@@ -70,11 +71,11 @@
 
 /* A crash that the sender knows of, of a suspected poison request. cleared: it
  * was no crash, or the request has run to a complete response since. */
-struct sas_mesh_record {
+struct sas_mesh_wire_crash_record {
     unsigned hyper high;
     unsigned hyper low;
     unsigned hyper crash;
-    bool alone;
+    bool isolated;
     bool cleared;
     unsigned int age_ms; /* since the last crash of the request */
 };
@@ -83,7 +84,7 @@
  * before it, and sends none. */
 struct sas_mesh_trailer {
     unsigned hyper records_digest; /* of all the sender's records; 0: none */
-    sas_mesh_record records<SAS_MESH_MAX_SUSPECTS>;
+    sas_mesh_wire_crash_record crash_records<SAS_MESH_MAX_POISON_REPORTS>;
 };
 
 /* With a shared key, SasProto_MAC_SIZE bytes of HMAC-SHA-256 over message and
@@ -93,8 +94,8 @@
     unsigned hyper sent_ms; /* wall clock; with a key, old ones are refused */
     bool wants_reply;
     sas_mesh_vm sender;
-    sas_mesh_news news<SAS_MESH_MAX_NEWS>;
-    sas_mesh_trip trips<SAS_MESH_MAX_TRIPS>;
-    sas_mesh_suspect suspects<SAS_MESH_MAX_SUSPECTS>;
-    sas_mesh_loss losses<SAS_MESH_MAX_LOSSES>;
+    sas_mesh_wire_update updates<SAS_MESH_MAX_UPDATES>;
+    sas_mesh_wire_ejection ejections<SAS_MESH_MAX_EJECTIONS>;
+    sas_mesh_wire_poison_report poison_reports<SAS_MESH_MAX_POISON_REPORTS>;
+    sas_mesh_wire_failure_report failure_reports<SAS_MESH_MAX_FAILURE_REPORTS>;
 };
--- a/packages/proto/peer_rpc.x
+++ b/packages/proto/peer_rpc.x
@@ -3,11 +3,11 @@
  * src/generated/peer_rpc_xdr.c from this file. Every list has a bound, so
  * that the decoder never allocates more than that.
  *
- * A seat is the member id of an entry VM: its index in the settings.
+ * A member id is the index of an entry VM in the settings.
  */
 
 const SAS_RPC_NONCE_SIZE = 16;
-const SAS_RPC_MAX_SEATS = 256;
+const SAS_RPC_MAX_MEMBERS = 256;
 const SAS_RPC_MAX_BUDGETS = 512;
 const SAS_RPC_MAX_LOADS = 512;
 const SAS_RPC_MAX_SHARES = 128;
@@ -35,22 +35,22 @@
     SAS_RPC_LEAVING = 1
 };
 
-/* What the sender knows of a member, itself included. doubt is the suspicion:
- * a heartbeat above it refutes it; 0: not suspected. age_ms is the age of the
- * heartbeat. */
-struct sas_rpc_seat {
-    unsigned int seat;
+/* What the sender knows of a member, itself included. A heartbeat above the
+ * suspicion refutes it; 0: not suspected. age_ms is the age of the heartbeat.
+ */
+struct sas_rpc_member {
+    unsigned int member_id;
     sas_rpc_state state;
     unsigned hyper incarnation;
     unsigned hyper config_version;
     unsigned int heartbeat;
-    unsigned int doubt;
+    unsigned int suspicion;
     unsigned int age_ms;
 };
 
 struct sas_rpc_budget {
     unsigned hyper id;
-    unsigned hyper unused; /* units that the sender could lend: a hint */
+    unsigned hyper lendable; /* units that the sender could lend: a hint */
     hyper epoch; /* of its floors, as announced; -1 while recovering */
 };
 
@@ -64,11 +64,11 @@
     unsigned hyper incarnation;
 };
 
-/* alone: nothing else ran on the server. cleared: it was no crash, or the
+/* isolated: nothing else ran on the server. cleared: it was no crash, or the
  * request has run to a complete response since. */
 struct sas_rpc_crash {
     unsigned hyper id;
-    bool alone;
+    bool isolated;
     bool cleared;
 };
 
@@ -79,7 +79,7 @@
     unsigned hyper low;
     sas_rpc_crash crashes<SAS_RPC_MAX_CRASHES>;
     unsigned int left_ms;
-    unsigned int trial_ms;
+    unsigned int isolated_ms;
 };
 
 /* Share of a shift that the sender has in force, in millionths. */
@@ -91,7 +91,7 @@
 };
 
 struct sas_rpc_gossip {
-    unsigned int seat;
+    unsigned int member_id;
     unsigned hyper incarnation;
     sas_rpc_state state;
     unsigned hyper config_version;
@@ -100,17 +100,17 @@
     sas_rpc_share shares<SAS_RPC_MAX_SHARES>;
     unsigned hyper quarantine_digest;
     sas_rpc_quarantine quarantines<SAS_RPC_MAX_QUARANTINES>;
-    sas_rpc_seat seats<SAS_RPC_MAX_SEATS>;
+    sas_rpc_member members<SAS_RPC_MAX_MEMBERS>;
 };
 
 struct sas_rpc_fetch {
     unsigned hyper have_version;
 };
 
-/* number 0: nothing newer than have_version. bytes is the whole configuration
- * as JSON. base is reserved for deltas and always 0. */
+/* config_version 0: nothing newer than have_version. bytes is the whole
+ * configuration as JSON. base is reserved for deltas and always 0. */
 struct sas_rpc_config {
-    unsigned hyper number;
+    unsigned hyper config_version;
     unsigned hyper base;
     opaque bytes<SAS_RPC_MAX_CONFIG>;
 };
@@ -130,7 +130,7 @@
     unsigned hyper granted; /* units; of a renewal 1 or 0 */
 };
 
-struct sas_rpc_return {
+struct sas_rpc_loan_return {
     unsigned hyper budget;
     unsigned hyper epoch;
     unsigned hyper loan;
@@ -158,12 +158,12 @@
     unsigned hyper incarnation;
 };
 
-/* The member that is leaving, or SAS_RPC_NO_SEAT, and the backend servers
+/* The member that is leaving, or SAS_RPC_NO_MEMBER, and the backend servers
  * that are leaving. */
-const SAS_RPC_NO_SEAT = 0xffffffff;
+const SAS_RPC_NO_MEMBER = 0xffffffff;
 
 struct sas_rpc_leaving {
-    unsigned int seat;
+    unsigned int member_id;
     unsigned hyper incarnation;
     sas_rpc_leaving_backend backends<SAS_RPC_MAX_BACKENDS>;
 };
@@ -174,7 +174,7 @@
         sas_rpc_gossip SAS_RPC_GOSSIP(sas_rpc_gossip) = 2;
         sas_rpc_config SAS_RPC_FETCH_CONFIG(sas_rpc_fetch) = 3;
         sas_rpc_grant SAS_RPC_BORROW(sas_rpc_borrow) = 4;
-        void SAS_RPC_RETURN(sas_rpc_return) = 5;
+        void SAS_RPC_RETURN(sas_rpc_loan_return) = 5;
         void SAS_RPC_QUARANTINE(sas_rpc_quarantine_list) = 6;
         void SAS_RPC_LEAVE(sas_rpc_leaving) = 7;
         sas_rpc_disown_list SAS_RPC_DISOWN(sas_rpc_disown_list) = 8;
--- a/packages/proto/src/proto.c
+++ b/packages/proto/src/proto.c
@@ -37,7 +37,7 @@
                               (xdrproc_t)xdr_sas_rpc_config},
     [SAS_RPC_BORROW] = {"borrow", (xdrproc_t)xdr_sas_rpc_borrow,
                         (xdrproc_t)xdr_sas_rpc_grant},
-    [SAS_RPC_RETURN] = {"return", (xdrproc_t)xdr_sas_rpc_return,
+    [SAS_RPC_RETURN] = {"return", (xdrproc_t)xdr_sas_rpc_loan_return,
                         (xdrproc_t)code_void},
     [SAS_RPC_QUARANTINE] = {"quarantine",
                             (xdrproc_t)xdr_sas_rpc_quarantine_list,
--- a/packages/proto/tests/samples.c
+++ b/packages/proto/tests/samples.c
@@ -9,13 +9,13 @@
     {99, 1, {2, crashes}, 5000, 0}};
 static struct sas_rpc_disown disowns[] = {{1, 4}, {2, 5}};
 static struct sas_rpc_leaving_backend backends[] = {{7, 70}, {8, 80}};
-static struct sas_rpc_seat seats[] = {
+static struct sas_rpc_member members[] = {
     {0, SAS_RPC_LIVE, 1000, 5, 17, 0, 0},
     {8, SAS_RPC_LEAVING, 1008, 4, 9, 9, 1500},
 };
 
 static const struct sas_rpc_gossip gossip = {
-    .seat = 0,
+    .member_id = 0,
     .incarnation = 1000,
     .state = SAS_RPC_LIVE,
     .config_version = 5,
@@ -24,7 +24,7 @@
     .shares = {1, shares},
     .quarantine_digest = 12,
     .quarantines = {1, quarantines},
-    .seats = {2, seats},
+    .members = {2, members},
 };
 
 struct sas_proto_message
@@ -49,7 +49,7 @@
         break;
     case SAS_RPC_FETCH_CONFIG:
         if (sample.is_reply) {
-            body->config.number = 5;
+            body->config.config_version = 5;
             body->config.bytes.bytes_val = (char *)"{\"version\":5}";
             body->config.bytes.bytes_len = 13;
         }
@@ -66,7 +66,7 @@
         }
         break;
     case SAS_RPC_RETURN:
-        body->give_back = (struct sas_rpc_return){2, 5, 11, 3};
+        body->give_back = (struct sas_rpc_loan_return){2, 5, 11, 3};
         break;
     case SAS_RPC_QUARANTINE:
         body->quarantine.entries.entries_len = 1;
@@ -77,7 +77,7 @@
         body->disown.rows.rows_val = disowns;
         break;
     default:
-        body->leaving.seat = SAS_RPC_NO_SEAT;
+        body->leaving.member_id = SAS_RPC_NO_MEMBER;
         body->leaving.backends.backends_len = 2;
         body->leaving.backends.backends_val = backends;
         break;
--- a/packages/proto/tests/test_mesh.c
+++ b/packages/proto/tests/test_mesh.c
@@ -15,17 +15,17 @@
 static u_int
 encode(char *bytes)
 {
-    sas_mesh_news news[2] = {{.name_hash = 7, .heartbeat = 3},
-                             {.name_hash = 8, .leaving = true}};
-    sas_mesh_trip trip = {.server_hash = 9, .left_ms = 1500};
+    sas_mesh_wire_update updates[2] = {{.name_hash = 7, .heartbeat = 3},
+                                       {.name_hash = 8, .leaving = true}};
+    sas_mesh_wire_ejection ejection = {.server_hash = 9, .left_ms = 1500};
     sas_mesh_message message = {
         .format = SAS_MESH_FORMAT,
         .sender = {.name = "front-1",
                    .zone = "a",
                    .ip = "10.0.0.1",
                    .caller_port = 80},
-        .news = {.news_len = 2, .news_val = news},
-        .trips = {.trips_len = 1, .trips_val = &trip},
+        .updates = {.updates_len = 2, .updates_val = updates},
+        .ejections = {.ejections_len = 1, .ejections_val = &ejection},
     };
     XDR xdr;
     xdrmem_create(&xdr, bytes, MAX_DATAGRAM, XDR_ENCODE);
@@ -61,9 +61,9 @@
     sas_mesh_message message;
     assert_true(decode(bytes, size, &message));
     assert_string_equal(message.sender.zone, "a");
-    assert_int_equal(message.news.news_len, 2);
-    assert_true(message.news.news_val[1].leaving);
-    assert_int_equal(message.trips.trips_val[0].left_ms, 1500);
+    assert_int_equal(message.updates.updates_len, 2);
+    assert_true(message.updates.updates_val[1].leaving);
+    assert_int_equal(message.ejections.ejections_val[0].left_ms, 1500);
     release(&message);
 }
 
@@ -88,8 +88,9 @@
         }
         sas_mesh_message message;
         if (decode(bytes, length, &message)) {
-            assert_true(message.news.news_len <= SAS_MESH_MAX_NEWS);
-            assert_true(message.trips.trips_len <= SAS_MESH_MAX_TRIPS);
+            assert_true(message.updates.updates_len <= SAS_MESH_MAX_UPDATES);
+            assert_true(message.ejections.ejections_len <=
+                        SAS_MESH_MAX_EJECTIONS);
             assert_true(strlen(message.sender.name) <= SAS_MESH_MAX_TEXT);
         }
         release(&message);
--- a/packages/proto/tests/test_proto.c
+++ b/packages/proto/tests/test_proto.c
@@ -109,8 +109,8 @@
     assert_int_equal(gossip->budgets.budgets_val[1].id, UINT64_MAX);
     assert_int_equal(gossip->loads.loads_val[0].incarnation, 0x1234567890);
     assert_true(gossip->loads.loads_val[0].leaving);
-    assert_int_equal(gossip->seats.seats_val[1].state, SAS_RPC_LEAVING);
-    assert_int_equal(gossip->seats.seats_val[1].age_ms, 1500);
+    assert_int_equal(gossip->members.members_val[1].state, SAS_RPC_LEAVING);
+    assert_int_equal(gossip->members.members_val[1].age_ms, 1500);
     SasProto_FreeBody(&got);
 }
 
@@ -274,8 +274,8 @@
     gossip->loads.loads_val = (void *)zeros;
     gossip->quarantines.quarantines_len = SAS_RPC_MAX_QUARANTINES;
     gossip->quarantines.quarantines_val = (void *)zeros;
-    gossip->seats.seats_len = SAS_RPC_MAX_SEATS;
-    gossip->seats.seats_val = (void *)zeros;
+    gossip->members.members_len = SAS_RPC_MAX_MEMBERS;
+    gossip->members.members_val = (void *)zeros;
     g_autofree uint8_t *bytes = encode(&call, &size);
     assert_non_null(bytes);
     assert_true(size <= SasProto_MAX_CALL_RECORD);
--- a/tools/bench_gossip.c
+++ b/tools/bench_gossip.c
@@ -97,7 +97,7 @@
 /* Messages */
 
 static struct sas_proto_message
-make_gossip(struct sas_rpc_seat *members, int count)
+make_gossip(struct sas_rpc_member *members, int count)
 {
     static struct sas_rpc_budget budget_rows[SAS_RPC_MAX_BUDGETS];
     static struct sas_rpc_load load_rows[SAS_RPC_MAX_LOADS];
@@ -107,8 +107,8 @@
     gossip->budgets.budgets_val = budget_rows;
     gossip->loads.loads_len = (u_int)loads;
     gossip->loads.loads_val = load_rows;
-    gossip->seats.seats_len = (u_int)count;
-    gossip->seats.seats_val = members;
+    gossip->members.members_len = (u_int)count;
+    gossip->members.members_val = members;
     return message;
 }
 
@@ -128,7 +128,7 @@
 {
     static size_t sizes[SasMembership_DIGEST_MEMBERS + 1];
     if (sizes[count] == 0) {
-        struct sas_rpc_seat members[SasMembership_DIGEST_MEMBERS];
+        struct sas_rpc_member members[SasMembership_DIGEST_MEMBERS];
         struct sas_proto_session session;
         memset(members, 0, sizeof(members));
         memset(&session, 0, sizeof(session));
@@ -475,7 +475,7 @@
 static void
 report_cpu(void)
 {
-    struct sas_rpc_seat members[SasMembership_DIGEST_MEMBERS];
+    struct sas_rpc_member members[SasMembership_DIGEST_MEMBERS];
     struct sas_proto_session session;
     struct sas_membership table;
     int count = MIN(node_count, SasMembership_DIGEST_MEMBERS);
