--- a/packages/core/include/sas/admission.h
+++ b/packages/core/include/sas/admission.h
@@ -53,8 +53,8 @@
     uint64_t key;                                /* of the object */
     double objective_ms; /* remaining until the latency objective */
     double left_ms; /* remaining until the caller's or the route's deadline */
-    bool high_priority; /* high priority: the route isn't of the lowest one */
-    bool rows_stale; /* the rows are stale: a server may be cold unnoticed */
+    bool high_priority; /* the route isn't of the lowest priority */
+    bool rows_stale;    /* a server may be cold unnoticed */
 };
 
 struct sas_admission_decision {
--- a/packages/core/include/sas/config.h
+++ b/packages/core/include/sas/config.h
@@ -26,7 +26,7 @@
 #define SasConfig_MAX_VERSION INT64_C(9007199254740991) /* 2^53 - 1 */
 
 struct sas_config {
-    int64_t version; /* version, from 1 up; only rises */
+    int64_t version; /* from 1 up; only rises */
     char operation[SasConfig_NAME_SIZE];
     char operator_name[SasConfig_NAME_SIZE];
     int64_t accepted_ms; /* since the epoch */
--- a/packages/core/include/sas/fleet.h
+++ b/packages/core/include/sas/fleet.h
@@ -117,8 +117,7 @@
     int64_t timeout_ms; /* 0: only the caller's deadline counts */
     int64_t target_latency_ms;
     int priority;       /* 0 is the highest */
-    bool high_priority; /* high priority: another route has a lower one; set by
-                           ApplyConfig */
+    bool high_priority; /* another route has a lower one; set by ApplyConfig */
     int max_attempts;
     bool sticky;
     GArray *parts;            /* struct sas_route_part, at least one */
--- a/packages/core/include/sas/fleet_model.h
+++ b/packages/core/include/sas/fleet_model.h
@@ -8,7 +8,7 @@
  *   life of the process;
  * - entry VMs are added and never removed;
  * - only SasFleetModel_Refresh removes backend servers that left the fleet,
- * and not while the configuration in force names them. Code that holds other
+ *   and not while the configuration in force names them. Code that holds other
  *   indices of servers calls SasFleetModel_Add instead, which only adds.
  *
  * A name in a stored configuration may belong to a server or service that was
--- a/packages/core/include/sas/grey_failure.h
+++ b/packages/core/include/sas/grey_failure.h
@@ -40,7 +40,7 @@
 
 void SasGreyFailure_Init(struct sas_grey_failure *grey);
 
-/* NoteAnswered counts an answer. TakeAnswered returns the number to report
+/* NoteAnswered counts an answer. TakeUnreported returns the number to report
  * with a failure and resets it; answers older than
  * SasGreyFailure_REPORT_WINDOW_MS say nothing of a server that has just begun
  * to fail. */
--- a/packages/core/include/sas/lag.h
+++ b/packages/core/include/sas/lag.h
@@ -4,7 +4,7 @@
  * not have usually gets it by its regular poll within a moment. If it doesn't,
  * the poll has stalled, which shows in no other way: a long poll that is never
  * answered looks like one that waits for changes. The VM then polls the store
- * anew and other entry VMs too. While it stays behind, its rows are stale: it
+ * anew and other entry VMs too. If it stays behind, its rows become stale: it
  * does not report them to others as current.
  *
  * Both delays are fractions of the bound within which a change has to be in
--- a/packages/core/include/sas/lookup.h
+++ b/packages/core/include/sas/lookup.h
@@ -26,7 +26,7 @@
 
 #define SasLookup_TTL_MS 20000
 #define SasLookup_SHIFTING_TTL_MS 5000
-#define SasLookup_JITTER 0.25 /* of the lifetime, either way */
+#define SasLookup_JITTER 0.25 /* of the TTL, either way */
 #define SasLookup_MAX_TTL_MS 25000
 
 /* What a block can be assigned to: a region, or one site of several in it.
--- a/packages/core/include/sas/placement.h
+++ b/packages/core/include/sas/placement.h
@@ -2,9 +2,9 @@
  *
  * The caller fills in one struct sas_placement_server for each candidate
  * server and calls a policy's pick function. It returns an index into that
- * array, or SasModel_NONE when no usable server has free capacity; the caller
- * then waits briefly, spills over to another region or refuses the request. A
- * policy keeps no pointer to the array and reads no clock.
+ * array, or SasModel_NONE when no eligible server has free capacity; the
+ * caller then waits briefly, spills over to another region or refuses the
+ * request. A policy keeps no pointer to the array and reads no clock.
  * docs/notes-placement.md compares the policies.
  *
  *   random           any server with free capacity
--- a/packages/core/include/sas/plan.h
+++ b/packages/core/include/sas/plan.h
@@ -40,15 +40,13 @@
 #define SasPlan_MAX_CLOCK_RATE 10 /* most schedule ms per monotonic ms */
 /* most ramp time credited by one call */
 #define SasPlan_MAX_RAMP_STEP_MS 10000
-#define SasPlan_MAX_CLOCK_SKEW_MS                                             \
-    10000 /* tolerated clock skew of entry VMs                                \
-           */
+/* tolerated clock skew of entry VMs */
+#define SasPlan_MAX_CLOCK_SKEW_MS 10000
 /* older measurements put ramps on hold */
 #define SasPlan_MAX_SIGNAL_AGE_MS 10000
 #define SasPlan_MIN_HEADROOM 0.05 /* lower bound of a row's headroom */
-#define SasPlan_WARMUP_SHARE                                                  \
-    0.1 /* of the ordered share, while caches warm                            \
-         */
+/* of the ordered share, while caches warm */
+#define SasPlan_WARMUP_SHARE 0.1
 /* least rise time after a region was down */
 #define SasPlan_RECOVERY_RAMP_MS 60000
 #define SasPlan_SEED_WINDOW_MS 30000 /* how long a new node accepts seeds */
@@ -75,7 +73,7 @@
  * down, so that it does not take its own partition for an outage. */
 struct sas_plan_signals {
     const struct sas_plan_signal *table; /* [service * regions + region] */
-    const bool *down;                    /* down, by region; NULL for none */
+    const bool *down;                    /* by region; NULL for none */
 };
 
 /* One (service, from, to) that the configuration names. */
@@ -129,7 +127,7 @@
     double concurrent; /* requests running at the same time */
 };
 
-/* Builds the plan for a configuration; number 0 stands for none yet. *plan
+/* Builds the plan for a configuration; version 0 stands for none yet. *plan
  * must be zeroed before the first call; later calls keep the shares in force
  * and the clocks. The plan keeps a pointer to the model, not to the
  * configuration. */
--- a/packages/core/include/sas/quarantine.h
+++ b/packages/core/include/sas/quarantine.h
@@ -45,7 +45,7 @@
 
 struct sas_crash {
     uint64_t id;   /* 0: none */
-    bool isolated; /* isolated: nothing else ran there, of any node */
+    bool isolated; /* nothing else ran there, of any node */
     bool cleared;  /* dismissed, or the request isn't the cause */
 };
 
--- a/packages/core/src/budget.c
+++ b/packages/core/src/budget.c
@@ -99,7 +99,7 @@
     b->effective_floor = floors[settings->own_id];
     /* An earlier incarnation may just have lent all but the reserve, and only
      * its borrowers know. Using the whole floor now would use those units
-     * twice. The last of these loans ends within ejection_ms. */
+     * twice. The last of these loans ends within hold_ms(). */
     b->recovering = settings->members > 1;
     b->recover_until_ms = now_ms + hold_ms(b);
 }
