--- a/packages/gateway/src/mesh.c
+++ b/packages/gateway/src/mesh.c
@@ -9,8 +9,8 @@
 #include "sas/vm_capacity.h"
 
 /* Failure domains whose leaders a change is announced to at once. Each leader
- * thus gets it from as many others, also while most of them are unreachable.
- */
+ * thus gets it from as many others, and learns of it even if most of them are
+ * unreachable. */
 #define NOTIFIED_ZONES 4
 
 int64_t
--- a/packages/gateway/src/mesh_gossip.c
+++ b/packages/gateway/src/mesh_gossip.c
@@ -27,8 +27,8 @@
  * a server within the window. */
 #define MAX_REPORTED 10000u
 
-/* After a longer gap between rounds the process counts as frozen: others take
- * over the share of an entry VM that is unresponsive for longer. */
+/* If a round is late by more than this, the process counts as frozen: others
+ * take over the share of an entry VM that is unresponsive for longer. */
 #define MAX_ROUND_DELAY_MS 1000
 
 /* Least time between two transfers of records to the same member. */
--- a/packages/gateway/src/mesh_lookup.c
+++ b/packages/gateway/src/mesh_lookup.c
@@ -4,8 +4,9 @@
 #include "sas/log.h"
 #include "sas/vm_capacity.h"
 
-/* Dead members count towards their zone's total capacity for this time: they
- * may be restarting or have been killed. Later they count as removed. */
+/* Dead members count towards their zone's total capacity until this time after
+ * their last heartbeat or message: they may be restarting or have been killed.
+ * Later they count as removed. */
 #define RECENT_MEMBER_MS 600000
 
 /* Where a lookup's addresses are taken from. */
--- a/packages/gateway/src/mesh_ranking.c
+++ b/packages/gateway/src/mesh_ranking.c
@@ -11,8 +11,9 @@
     return XXH3_64bits(words, sizeof(words));
 }
 
-/* A dead entry VM keeps its share for this time: it may be partitioned from
- * the others but still reach the servers. */
+/* A dead entry VM keeps its share until this time after its last heartbeat or
+ * message: it may be partitioned from the others but still reach the servers.
+ */
 #define RESERVED_MS 10000
 
 /* Others learn of a start or of the end of a freeze within a second. What they
--- a/packages/gateway/src/poison_requests.c
+++ b/packages/gateway/src/poison_requests.c
@@ -12,8 +12,8 @@
 /* From this number of crashes on, it may be refused. */
 #define REFUSE_CRASHES 3
 
-/* Popular requests often run on servers that crash for other reasons, and an
- * idle server may not be free for a long time. So a suspected request is sent
+/* Popular requests often run on servers that crash for other reasons, and it
+ * may take long until a server is idle. So a suspected request is sent
  * normally again ISOLATE_MS after its last crash, and a refused one gets an
  * isolated run REFUSE_MS after it: a harmless one is refused for a minute, a
  * harmful one costs a server a minute. */
--- a/packages/gateway/src/poison_requests.h
+++ b/packages/gateway/src/poison_requests.h
@@ -3,9 +3,10 @@
  *
  * A caller whose request crashed a server retries it, and each time another
  * server goes down with all requests on it. A connection that is reset under a
- * request doesn't prove a crash. So a probe opens a new connection: if the
- * server accepts none it has crashed, and every request that ran there is a
- * suspected poison request. sas/quarantine.h counts the crashes.
+ * request doesn't prove a crash: the reset may come from the network, or only
+ * the answer may be lost. So a probe opens a new connection: if the server
+ * accepts none it has crashed, and every request that ran there is a suspected
+ * poison request. sas/quarantine.h counts the crashes.
  *
  * After one crash a request is still sent normally: of all the requests on a
  * crashed server at most one is to blame. After two crashes it only runs
@@ -42,8 +43,7 @@
  * has to be computed then. */
 bool SasPoisonRequests_HasAny(const struct sas_poison_requests *poison);
 
-/* How the request may be sent: SAS_QUARANTINE_ALLOW, _ALONE (isolated) or
- * _REFUSE. */
+/* How the request may be sent: SAS_QUARANTINE_ALLOW, _ISOLATE or _REFUSE. */
 enum sas_quarantine_decision
 SasPoisonRequests_Check(struct sas_poison_requests *poison,
                         struct sas_fingerprint fingerprint);
--- a/packages/gateway/src/relay_attempt.c
+++ b/packages/gateway/src/relay_attempt.c
@@ -239,7 +239,8 @@
 }
 
 /* Whether the answer may be delivered unchanged. A 2xx answer needs the
- * server's seal. The statuses that promise "not run" are never passed on. */
+ * server's seal. The statuses that promise "not run" are never passed on: here
+ * the server has not stated that it didn't run the request. */
 static bool
 is_deliverable(const struct relay_call *call)
 {
