--- a/packages/ctl/src/client.h
+++ b/packages/ctl/src/client.h
@@ -3,7 +3,8 @@
  * A call goes to one node after the other until a response is conclusive. For
  * a read any status below 500 is. A write carries an operation id, so a retry
  * at the next node is idempotent; once it may have taken effect at an earlier
- * node, only status 200 is conclusive.
+ * node, only status 200 is conclusive, and a refusal ends the call with
+ * SAS_ETIMEOUT.
  */
 #ifndef SAS_CTL_CLIENT_H
 #define SAS_CTL_CLIENT_H
--- a/packages/node/src/forward.h
+++ b/packages/node/src/forward.h
@@ -21,7 +21,7 @@
     int service;
     const char *method;
     const char *target; /* sent to the backend server unchanged */
-    const char *route;  /* its path, normalized */
+    const char *route;  /* its path without dots, escapes, double slashes */
     const struct sas_http_header *headers;
     int header_count;
     const char *body;
--- a/packages/node/src/lending.c
+++ b/packages/node/src/lending.c
@@ -258,10 +258,10 @@
 }
 
 /* The steady rate, in milli-units a second, that keeps any one second within
- * the cap, at least half of it: each entry VM with a floor may burst by a
- * tenth of a second's rate, or by one quantum where that is more. Only VMs of
- * the target region have floors, the others borrow; where that region has no
- * VM, all have floors. */
+ * the cap, but no less than half the cap: each entry VM with a floor may burst
+ * by a tenth of a second's rate, or by one quantum where that is more. Only
+ * VMs of the target region have floors, the others borrow; where that region
+ * has no VM, all have floors. */
 static double
 get_steady_rate(const struct sas_lending *lending,
                 const struct sas_shift *shift)
--- a/packages/node/src/platform_mode.c
+++ b/packages/node/src/platform_mode.c
@@ -17,8 +17,8 @@
     EXIT_USAGE = 2
 };
 
-/* About a line for each request of a small entry VM; at some 15 us a line,
- * logging takes under 1% of its core share. */
+/* About a line for each request of a small entry VM under ordinary load; at
+ * some 15 us a line, logging takes under 1% of its core share. */
 #define LOG_LINES_PER_S 200
 
 #define TOKEN_VARIABLE "SASSAFRASSILL_OPERATOR_TOKEN"
--- a/packages/node/src/router.h
+++ b/packages/node/src/router.h
@@ -1,9 +1,9 @@
 /* router - chooses the region and the backend server of each request, within
  * the budgets for execution slots, links and shifts.
  *
- * Connects the core's decisions (plan, lookup, budget, place, measure) with
- * the node's tasks. A grant holds units of every budget concerned and is
- * released exactly once. Times are loop milliseconds.
+ * Connects the core's decisions (plan, lookup, budget, placement,
+ * load_estimate) with the node's tasks. A grant holds units of every budget
+ * concerned and is released exactly once. Times are loop milliseconds.
  */
 #ifndef SAS_ROUTER_H
 #define SAS_ROUTER_H
--- a/packages/peer/include/sas/peer.h
+++ b/packages/peer/include/sas/peer.h
@@ -47,8 +47,7 @@
     /* True if it contains something new, which starts an extra round. */
     bool (*on_gossip)(struct sas_peer_handler *handler, int member_id,
                       const struct sas_rpc_gossip *gossip);
-    /* Sets the configuration in force, or a delta to it, if its version is
-     * higher than `have`. */
+    /* Sets the configuration in force if its version is higher than `have`. */
     int (*get_config)(struct sas_peer_handler *handler, uint64_t have,
                       struct sas_rpc_config *config);
     /* True if the configuration was adopted. */
--- a/packages/peer/src/connection.c
+++ b/packages/peer/src/connection.c
@@ -435,7 +435,7 @@
         return;
     }
     /* Guards against a call that is replayed on the path, which would be a
-     * second loan. Its digest is valid on this connection only, where its xid
+     * second loan. Its HMAC is valid on this connection only, where its xid
      * was already used. */
     if (!connection->outgoing && message->xid <= connection->last_xid) {
         SasConnection_Close(connection, SAS_PEER_REPLAYED);
--- a/packages/peer/tests/test_peer.c
+++ b/packages/peer/tests/test_peer.c
@@ -842,7 +842,7 @@
     close(listeners[1]);
 }
 
-/* A message with a right digest that names another receiver, or an earlier
+/* A message with a valid HMAC that names another receiver, or an earlier
  * incarnation of this one. */
 static void
 test_message_with_wrong_identity_is_refused(void **state)
