--- a/packages/gateway/src/gateway.c
+++ b/packages/gateway/src/gateway.c
@@ -78,8 +78,8 @@
         .body_bytes = DEFAULT_BODY_BYTES,
         .bodies_bytes =
             (size_t)((double)gateway->settings->memory_bytes * BODIES_SHARE),
-        .header_ms = DEFAULT_HEADER_MS,
-        .idle_ms = DEFAULT_IDLE_MS,
+        .header_timeout_ms = DEFAULT_HEADER_MS,
+        .idle_timeout_ms = DEFAULT_IDLE_MS,
         .connections =
             MAX(gateway->settings->max_descriptors - OTHER_DESCRIPTORS, 64),
     };
@@ -87,8 +87,8 @@
     if (config != NULL && config->limits.header_bytes > 0) {
         limits.header_bytes = config->limits.header_bytes;
         limits.body_bytes = config->limits.body_bytes;
-        limits.header_ms = config->limits.header_ms;
-        limits.idle_ms = config->limits.idle_ms;
+        limits.header_timeout_ms = config->limits.header_ms;
+        limits.idle_timeout_ms = config->limits.idle_ms;
     }
     return limits;
 }
@@ -343,7 +343,7 @@
     SasLog_Write(
         SasLog_INFO, "process.stopping", "",
         "signal=%d requests=%d connections=%d", number,
-        SasHttpServer_CountExchanges(gateway->servers[LISTEN_CALLER]),
+        SasHttpServer_CountPending(gateway->servers[LISTEN_CALLER]),
         SasHttpServer_CountConnections(gateway->servers[LISTEN_CALLER]));
     gateway->endpoints.leaving = true;
     SasRelay_Stop(gateway->relay, &gateway->stop_plan);
@@ -360,8 +360,7 @@
         SasLog_Write(
             SasLog_ERROR, "process.stop", "",
             "connections=%d requests=%d are closed at the shutdown deadline",
-            busy,
-            SasHttpServer_CountExchanges(gateway->servers[LISTEN_CALLER]));
+            busy, SasHttpServer_CountPending(gateway->servers[LISTEN_CALLER]));
     }
     uv_timer_stop(&gateway->stop_timer);
     gateway->source->stop(gateway->source);
@@ -389,7 +388,7 @@
     const struct sas_http_server *callers = gateway->servers[LISTEN_CALLER];
     struct sas_shutdown_left left = {
         .connections = SasHttpServer_CountConnections(callers),
-        .unanswered = SasHttpServer_CountBusy(callers),
+        .unanswered = SasHttpServer_CountBusyConnections(callers),
     };
     bool drained = SasShutdown_IsDone(&gateway->stop_plan, now_ms, &left);
     /* If the process was frozen, unread requests may wait on the sockets. So
--- a/packages/gateway/src/pool.c
+++ b/packages/gateway/src/pool.c
@@ -3,7 +3,7 @@
 #include <string.h>
 
 struct sas_pooled {
-    struct sas_http_owner owner;
+    struct sas_http_conn_listener owner;
     struct sas_pool *pool;
     struct sas_http_conn *conn;
     struct sas_server_ref server;
@@ -23,7 +23,7 @@
 };
 
 static void
-on_closed(struct sas_http_owner *owner, struct sas_http_conn *conn)
+on_closed(struct sas_http_conn_listener *owner, struct sas_http_conn *conn)
 {
     (void)conn;
     struct sas_pooled *pooled = (struct sas_pooled *)owner;
@@ -40,7 +40,7 @@
  * once. So a probe only succeeds if the connection stays open, see sweep_one.
  */
 static void
-on_opened(struct sas_http_owner *owner, struct sas_http_conn *conn)
+on_opened(struct sas_http_conn_listener *owner, struct sas_http_conn *conn)
 {
     (void)conn;
     struct sas_pooled *pooled = (struct sas_pooled *)owner;
--- a/packages/gateway/src/relay.c
+++ b/packages/gateway/src/relay.c
@@ -18,9 +18,9 @@
 static void note_bytes(struct relay_call *call, size_t answer_size);
 static void on_abandoned(struct sas_http_handler *handler,
                          struct sas_http_exchange *exchange,
-                         enum sas_http_end end);
+                         enum sas_http_close_reason end);
 static void on_closed(struct sas_http_handler *handler,
-                      const struct sas_http_leftover *leftover);
+                      const struct sas_http_close_stats *close_stats);
 static void register_ends(struct sas_relay *relay);
 
 struct sas_relay *
@@ -307,7 +307,7 @@
     struct relay_call *call = g_new0(struct relay_call, 1);
     call->relay = relay;
     call->exchange = exchange;
-    call->began_at = SasHttpExchange_GetBeganAt(exchange);
+    call->began_at = SasHttpExchange_GetReceivedAt(exchange);
     call->answer_headers = g_ptr_array_new_with_free_func(g_free);
     call->answer_body = g_string_new(NULL);
     const char *id =
@@ -370,10 +370,10 @@
 static void
 register_ends(struct sas_relay *relay)
 {
-    for (int end = 0; end < SAS_HTTP_END_COUNT; end++) {
+    for (int end = 0; end < SAS_HTTP_CLOSE_COUNT; end++) {
         relay->end_counters[end] = SasMetrics_Register(
             relay->options.metrics, "sas_connections_ended_total", "by",
-            SasHttp_GetEndName((enum sas_http_end)end),
+            SasHttp_GetCloseReasonName((enum sas_http_close_reason)end),
             "Connections of callers by what ended them");
     }
 }
@@ -382,32 +382,34 @@
  * caller has closed it, that is the outcome of its requests. */
 static void
 on_closed(struct sas_http_handler *handler,
-          const struct sas_http_leftover *leftover)
+          const struct sas_http_close_stats *close_stats)
 {
     struct sas_relay *relay = (struct sas_relay *)handler;
-    SasMetrics_Add(relay->options.metrics, relay->end_counters[leftover->end],
-                   1);
-    if (leftover->end == SAS_HTTP_END_CALLER ||
-        (leftover->unanswered == 0 && leftover->unsent_bytes == 0 &&
-         leftover->unread_bytes == 0)) {
+    SasMetrics_Add(relay->options.metrics,
+                   relay->end_counters[close_stats->end], 1);
+    if (close_stats->end == SAS_HTTP_CLOSE_CALLER ||
+        (close_stats->unanswered == 0 && close_stats->unsent_bytes == 0 &&
+         close_stats->unread_bytes == 0)) {
         return;
     }
-    SasLog_WriteFields(
-        SasLog_WARN, "caller.closed", "", "{s:s, s:i, s:I, s:I, s:I}", "by",
-        SasHttp_GetEndName(leftover->end), "unanswered", leftover->unanswered,
-        "unsent_bytes", (json_int_t)leftover->unsent_bytes, "unread_bytes",
-        (json_int_t)leftover->unread_bytes, "idle_ms",
-        (json_int_t)leftover->idle_ms);
+    SasLog_WriteFields(SasLog_WARN, "caller.closed", "",
+                       "{s:s, s:i, s:I, s:I, s:I}", "by",
+                       SasHttp_GetCloseReasonName(close_stats->end),
+                       "unanswered", close_stats->unanswered, "unsent_bytes",
+                       (json_int_t)close_stats->unsent_bytes, "unread_bytes",
+                       (json_int_t)close_stats->unread_bytes, "idle_ms",
+                       (json_int_t)close_stats->idle_ms);
 }
 
 static void
 on_abandoned(struct sas_http_handler *handler,
-             struct sas_http_exchange *exchange, enum sas_http_end end)
+             struct sas_http_exchange *exchange,
+             enum sas_http_close_reason end)
 {
     (void)handler;
     struct relay_call *call = SasHttpExchange_GetUser(exchange);
     const char *outcome =
-        end == SAS_HTTP_END_CALLER ? "caller left" : "cut off";
+        end == SAS_HTTP_CLOSE_CALLER ? "caller left" : "cut off";
     SasRelay_Cancel(call);
     log_end(call, outcome, 0);
     count_outcome(call, outcome);
--- a/packages/gateway/src/relay_attempt.c
+++ b/packages/gateway/src/relay_attempt.c
@@ -17,14 +17,16 @@
 /* After such a reset, idle connections are avoided for this time. */
 #define AVOID_IDLE_MS 30000
 
-static void on_head(struct sas_http_user *user, int status,
+static void on_head(struct sas_http_listener *listener, int status,
                     const struct sas_http_header *headers, int header_count);
-static void on_body(struct sas_http_user *user, const char *data, size_t size);
-static void on_end(struct sas_http_user *user, bool whole, bool reusable);
-static void on_fail(struct sas_http_user *user,
+static void on_body(struct sas_http_listener *listener, const char *data,
+                    size_t size);
+static void on_end(struct sas_http_listener *listener, bool whole,
+                   bool reusable);
+static void on_fail(struct sas_http_listener *listener,
                     const struct sas_http_failure *failure);
 
-static const struct sas_http_user_vtable user_vtable = {
+static const struct sas_http_listener_vtable listener_vtable = {
     .on_head = on_head,
     .on_body = on_body,
     .on_end = on_end,
@@ -46,7 +48,7 @@
     int count = 0;
     for (int i = 0; i < given_count; i++) {
         const char *name = from[i].name;
-        if (SasHttp_IsHopHeader(name) || strcasecmp(name, "Host") == 0 ||
+        if (SasHttp_IsHopByHopHeader(name) || strcasecmp(name, "Host") == 0 ||
             strcasecmp(name, "Expect") == 0 ||
             strcasecmp(name, wire->deadline_ms) == 0 ||
             strcasecmp(name, wire->target) == 0) {
@@ -103,12 +105,12 @@
         .header_count = fill_headers(call, headers, left),
     };
     request.body = SasHttpExchange_GetBody(call->exchange, &request.body_size);
-    call->user.vtable = &user_vtable;
+    call->listener.vtable = &listener_vtable;
     call->pooled =
         SasPool_Acquire(relay->options.pool, slot, get_max_idle(call, now_ms));
     call->conn_idle_ms = SasPool_GetIdleMs(call->pooled);
     SasHttp_Send(SasPool_GetConn(call->pooled), &request, left_ms,
-                 &call->user);
+                 &call->listener);
 }
 
 static void
@@ -192,17 +194,17 @@
     else if (strcasecmp(header->name, "Content-Encoding") == 0) {
         call->unusable = true;
     }
-    if (!SasHttp_IsHopHeader(header->name)) {
+    if (!SasHttp_IsHopByHopHeader(header->name)) {
         g_ptr_array_add(call->answer_headers, g_strdup(header->name));
         g_ptr_array_add(call->answer_headers, g_strdup(header->value));
     }
 }
 
 static void
-on_head(struct sas_http_user *user, int status,
+on_head(struct sas_http_listener *listener, int status,
         const struct sas_http_header *headers, int header_count)
 {
-    struct relay_call *call = (struct relay_call *)user;
+    struct relay_call *call = (struct relay_call *)listener;
     const struct sas_entry_wire *wire = call->relay->options.wire;
     const char *id =
         SasHttp_FindHeader(headers, header_count, wire->request_id);
@@ -228,9 +230,9 @@
 }
 
 static void
-on_body(struct sas_http_user *user, const char *data, size_t size)
+on_body(struct sas_http_listener *listener, const char *data, size_t size)
 {
-    struct relay_call *call = (struct relay_call *)user;
+    struct relay_call *call = (struct relay_call *)listener;
     if (call->answer_body->len + size > SasRelay_MAX_ANSWER) {
         call->unusable = true;
         return;
@@ -378,9 +380,9 @@
 }
 
 static void
-on_end(struct sas_http_user *user, bool whole, bool reusable)
+on_end(struct sas_http_listener *listener, bool whole, bool reusable)
 {
-    struct relay_call *call = (struct relay_call *)user;
+    struct relay_call *call = (struct relay_call *)listener;
     struct sas_relay *relay = call->relay;
     (void)whole; /* if framed by an orderly close, it counts as whole too */
     int64_t now_ms = SasRelay_Now(relay);
@@ -470,9 +472,10 @@
 }
 
 static void
-on_fail(struct sas_http_user *user, const struct sas_http_failure *failure)
+on_fail(struct sas_http_listener *listener,
+        const struct sas_http_failure *failure)
 {
-    struct relay_call *call = (struct relay_call *)user;
+    struct relay_call *call = (struct relay_call *)listener;
     end_attempt(call, false);
     if (failure->error.code == SAS_ETIMEOUT) {
         call->attempts++;
--- a/packages/gateway/src/relay_call.h
+++ b/packages/gateway/src/relay_call.h
@@ -64,7 +64,7 @@
     struct sas_poison_requests *poison_requests;
     struct sas_cached_objects *objects;
     bool rows_stale; /* of servers, which may be cold without notice */
-    int end_counters[SAS_HTTP_END_COUNT]; /* metrics of connections */
+    int end_counters[SAS_HTTP_CLOSE_COUNT]; /* metrics of connections */
     GQueue calls; /* struct relay_call *, by their links */
     struct sas_shutdown_plan stop;
 };
@@ -78,7 +78,8 @@
 
 /* A caller's request, from its arrival to its answer. */
 struct relay_call {
-    struct sas_http_user user; /* of the current attempt's connection */
+    /* Of the current attempt's connection. */
+    struct sas_http_listener listener;
     struct sas_relay *relay;
     GList link; /* among the relay's calls */
     struct sas_http_exchange *exchange;
--- a/packages/net/include/sas/http.h
+++ b/packages/net/include/sas/http.h
@@ -22,10 +22,10 @@
 
 /* TCP_USER_TIMEOUT: a connection fails when sent bytes stay unacknowledged for
  * this time. Leaves time for three retransmissions on a busy link. */
-#define SasHttp_UNACKED_LIMIT_MS 1500
+#define SasHttp_UNACKED_TIMEOUT_MS 1500
 
-/* Limit for a whole answer from its first byte; only with pause_ms. */
-#define SasHttp_ANSWER_LIMIT_MS 10000
+/* Limit for a whole answer from its first byte; only with stall_timeout_ms. */
+#define SasHttp_MAX_ANSWER_MS 10000
 
 struct sas_http_request {
     const char *method;
@@ -36,9 +36,9 @@
     const char *body; /* not copied; must stay valid until the request ends */
     size_t body_size;
     /* 0: timeout_ms limits the time to the end of the answer. Else timeout_ms
-     * limits the time to its first byte, and pause_ms every time without new
-     * bytes after that. */
-    int64_t pause_ms;
+     * limits the time to its first byte, and stall_timeout_ms every time
+     * without new bytes after that. */
+    int64_t stall_timeout_ms;
 };
 
 /* Why a request failed and how far it had come. */
@@ -50,51 +50,54 @@
 };
 
 struct sas_http_conn;
-struct sas_http_user;
+struct sas_http_listener;
 
 /* Callbacks for the answer to a connection's current request. Either on_end or
- * on_fail is the last one. Embed struct sas_http_user as first member. */
-struct sas_http_user_vtable {
-    void (*on_head)(struct sas_http_user *user, int status,
+ * on_fail is the last one. Embed struct sas_http_listener as first member. */
+struct sas_http_listener_vtable {
+    void (*on_head)(struct sas_http_listener *listener, int status,
                     const struct sas_http_header *headers, int header_count);
-    void (*on_body)(struct sas_http_user *user, const char *data, size_t size);
-    /* The answer has ended and the connection has no user any more. If it is
-     * reusable the next request may be sent from here, else it is closed. */
-    void (*on_end)(struct sas_http_user *user, bool whole, bool reusable);
+    void (*on_body)(struct sas_http_listener *listener, const char *data,
+                    size_t size);
+    /* The answer has ended and the connection has no listener any more. If it
+     * is reusable the next request may be sent from here, else it is
+     * closed. */
+    void (*on_end)(struct sas_http_listener *listener, bool whole,
+                   bool reusable);
     /* The connection is closed already. */
-    void (*on_fail)(struct sas_http_user *user,
+    void (*on_fail)(struct sas_http_listener *listener,
                     const struct sas_http_failure *failure);
 };
 
-struct sas_http_user {
-    const struct sas_http_user_vtable *vtable;
+struct sas_http_listener {
+    const struct sas_http_listener_vtable *vtable;
 };
 
 /* Callbacks for a connection's own events. on_opened: it is established; may
  * be NULL. on_closed: it begins to close; called exactly once. */
-struct sas_http_owner {
-    void (*on_opened)(struct sas_http_owner *owner,
+struct sas_http_conn_listener {
+    void (*on_opened)(struct sas_http_conn_listener *owner,
                       struct sas_http_conn *conn);
-    void (*on_closed)(struct sas_http_owner *owner,
+    void (*on_closed)(struct sas_http_conn_listener *owner,
                       struct sas_http_conn *conn);
 };
 
 /* Opens and closes a connection.
  * Connect returns at once and never NULL; a failure to connect is reported by
  * on_fail of the current request. owner may be NULL.
- * Close drops the current request without a callback to its user; the memory
- * is freed later by the loop. */
+ * Close drops the current request without a callback to its listener; the
+ * memory is freed later by the loop. */
 struct sas_http_conn *SasHttp_Connect(uv_loop_t *loop,
                                       const struct sas_address *address,
                                       int64_t connect_timeout_ms,
-                                      struct sas_http_owner *owner);
+                                      struct sas_http_conn_listener *owner);
 void SasHttp_Close(struct sas_http_conn *conn);
 
 /* Sends a request; the connection must be idle or still connecting. timeout_ms
  * (at least 1) counts from the start of the write. */
 void SasHttp_Send(struct sas_http_conn *conn,
                   const struct sas_http_request *request, int64_t timeout_ms,
-                  struct sas_http_user *user);
+                  struct sas_http_listener *listener);
 
 /* Call from on_head: this answer belongs to another request. Its body is
  * discarded and on_head is called again for the next answer. */
@@ -108,9 +111,9 @@
 /* State of a connection; times in milliseconds of the loop's clock.
  * IsIdle: a request may be sent. False if the socket already holds unread
  * bytes or a close of the peer.
- * HadStrayBytes: bytes came that belong to no request. */
+ * HadUnexpectedBytes: bytes came that belong to no request. */
 bool SasHttp_IsIdle(const struct sas_http_conn *conn);
-bool SasHttp_HadStrayBytes(const struct sas_http_conn *conn);
+bool SasHttp_HadUnexpectedBytes(const struct sas_http_conn *conn);
 int64_t SasHttp_GetOpenedAt(const struct sas_http_conn *conn);
 int64_t SasHttp_GetLastReadAt(const struct sas_http_conn *conn);
 
@@ -136,7 +139,7 @@
 void SasHttp_FreeResponse(struct sas_http_response *response);
 
 /* The reason phrase of a status code (RFC 9110, 15). */
-const char *SasHttp_GetReason(int status);
+const char *SasHttp_GetReasonPhrase(int status);
 
 /* Converts a numeric IPv4 or IPv6 address; -1 if it isn't one. */
 int SasHttp_GetSockaddr(const struct sas_address *address,
--- a/packages/net/include/sas/http_head.h
+++ b/packages/net/include/sas/http_head.h
@@ -49,6 +49,6 @@
 
 /* True for hop-by-hop header fields (RFC 9110, 7.6.1) and for those that frame
  * the body, Content-Length included: a proxy doesn't forward them. */
-bool SasHttp_IsHopHeader(const char *name);
+bool SasHttp_IsHopByHopHeader(const char *name);
 
 #endif
--- a/packages/net/include/sas/http_server.h
+++ b/packages/net/include/sas/http_server.h
@@ -11,9 +11,10 @@
  * during the callback and not after it.
  *
  * The server itself answers requests that it can't pass on, and closes their
- * connection: 400 (malformed), 408 (the head took longer than header_ms), 413
- * (body_bytes exceeded), 431 (header_bytes or SasHttp_MAX_HEADERS exceeded)
- * and 503 with Retry-After: 1 (bodies_bytes exceeded).
+ * connection: 400 (malformed), 408 (the head took longer than
+ * header_timeout_ms), 413 (body_bytes exceeded), 431 (header_bytes or
+ * SasHttp_MAX_HEADERS exceeded) and 503 with Retry-After: 1 (bodies_bytes
+ * exceeded).
  *
  * Times are milliseconds of the loop's clock. The idle and header timeouts are
  * checked every 250 ms.
@@ -43,31 +44,32 @@
     size_t header_bytes; /* of the target; also of all names and values */
     size_t body_bytes;   /* of one request */
     size_t bodies_bytes; /* of all requests in memory */
-    int64_t header_ms;   /* from the first byte of a request to the end of its
-                            head */
-    int64_t idle_ms;     /* between two requests, or while the caller reads
-                            nothing of an answer; 0: no limit */
-    int connections;     /* further ones are closed at once */
+    /* From the first byte of a request to the end of its head. */
+    int64_t header_timeout_ms;
+    /* Between two requests, or while the caller reads nothing of an answer;
+     * 0: no limit. */
+    int64_t idle_timeout_ms;
+    int connections; /* further ones are closed at once */
 };
 
 /* Why a connection closes. */
-enum sas_http_end {
-    SAS_HTTP_END_CALLER, /* closed or reset by the caller, or failed */
-    SAS_HTTP_END_ANSWER, /* after an answer with Connection: close */
-    SAS_HTTP_END_IDLE,   /* idle for idle_ms, or idle_ms of a drain */
-    SAS_HTTP_END_SERVER, /* by SasHttpServer_Close */
-    SAS_HTTP_END_COUNT
+enum sas_http_close_reason {
+    SAS_HTTP_CLOSE_CALLER, /* closed or reset by the caller, or failed */
+    SAS_HTTP_CLOSE_ANSWER, /* after an answer with Connection: close */
+    SAS_HTTP_CLOSE_IDLE, /* idle_timeout_ms, or idle_ms of a drain, is over */
+    SAS_HTTP_CLOSE_SERVER, /* by SasHttpServer_Close */
+    SAS_HTTP_CLOSE_COUNT
 };
 
 /* What is unfinished when a connection closes. */
-struct sas_http_leftover {
-    enum sas_http_end end;
+struct sas_http_close_stats {
+    enum sas_http_close_reason end;
     int unanswered;      /* requests that the handler hasn't answered */
     size_t unsent_bytes; /* of answers, in this process and in the kernel up
                             to the caller's acknowledgement; 0 if the caller
                             closed the connection */
     size_t unread_bytes; /* in the socket, at most 1024 are counted; 0 with
-                            SAS_HTTP_END_CALLER */
+                            SAS_HTTP_CLOSE_CALLER */
     int64_t idle_ms;     /* since bytes were read or an answer was sent */
 };
 
@@ -79,15 +81,15 @@
      * always replies. */
     void (*on_abandoned)(struct sas_http_handler *handler,
                          struct sas_http_exchange *exchange,
-                         enum sas_http_end end);
+                         enum sas_http_close_reason end);
     /* Once for each accepted connection, before its on_abandoned; may be
      * NULL. */
     void (*on_closed)(struct sas_http_handler *handler,
-                      const struct sas_http_leftover *leftover);
+                      const struct sas_http_close_stats *close_stats);
 };
 
 /* "caller", "answer", "idle" or "server". */
-const char *SasHttp_GetEndName(enum sas_http_end end);
+const char *SasHttp_GetCloseReasonName(enum sas_http_close_reason end);
 
 struct sas_http_reply {
     int status;
@@ -122,13 +124,13 @@
 
 /* Exchanges: requests that are being read, unanswered, or whose answer waits
  * for the answer to an earlier request. Connections: open ones. */
-int SasHttpServer_CountExchanges(const struct sas_http_server *server);
+int SasHttpServer_CountPending(const struct sas_http_server *server);
 int SasHttpServer_CountConnections(const struct sas_http_server *server);
 
 /* Connections with unfinished work: a request that is in the socket, being
  * read or unanswered, an answer that the caller hasn't acknowledged in full,
  * or a close that the caller hasn't answered with its own. */
-int SasHttpServer_CountBusy(const struct sas_http_server *server);
+int SasHttpServer_CountBusyConnections(const struct sas_http_server *server);
 
 /* The request of an exchange; all pointers are valid as long as it is. */
 const char *SasHttpExchange_GetMethod(const struct sas_http_exchange *e);
@@ -140,7 +142,7 @@
 const char *SasHttpExchange_GetBody(const struct sas_http_exchange *e,
                                     size_t *size);
 /* When the first byte of the request was read. */
-int64_t SasHttpExchange_GetBeganAt(const struct sas_http_exchange *e);
+int64_t SasHttpExchange_GetReceivedAt(const struct sas_http_exchange *e);
 
 /* A pointer of the handler's own, initially NULL. */
 void SasHttpExchange_SetUser(struct sas_http_exchange *e, void *user);
--- a/packages/net/src/fetch.c
+++ b/packages/net/src/fetch.c
@@ -6,7 +6,7 @@
 #define MAX_BODY_BYTES (64u * 1024 * 1024)
 
 struct fetch {
-    struct sas_http_user user; /* first: the vtable */
+    struct sas_http_listener listener; /* first: the vtable */
     struct sas_http_response *response;
     GString *body;
     struct sas_error *error;
@@ -14,10 +14,10 @@
 };
 
 static void
-on_head(struct sas_http_user *user, int status,
+on_head(struct sas_http_listener *listener, int status,
         const struct sas_http_header *headers, int header_count)
 {
-    struct fetch *fetch = (struct fetch *)user;
+    struct fetch *fetch = (struct fetch *)listener;
     fetch->response->status = status;
     fetch->response->headers = g_new0(struct sas_http_header, header_count);
     fetch->response->header_count = header_count;
@@ -28,19 +28,19 @@
 }
 
 static void
-on_body(struct sas_http_user *user, const char *data, size_t size)
+on_body(struct sas_http_listener *listener, const char *data, size_t size)
 {
-    struct fetch *fetch = (struct fetch *)user;
+    struct fetch *fetch = (struct fetch *)listener;
     if (fetch->body->len + size <= MAX_BODY_BYTES) {
         g_string_append_len(fetch->body, data, (gssize)size);
     }
 }
 
 static void
-on_end(struct sas_http_user *user, bool whole, bool reusable)
+on_end(struct sas_http_listener *listener, bool whole, bool reusable)
 {
     (void)reusable;
-    struct fetch *fetch = (struct fetch *)user;
+    struct fetch *fetch = (struct fetch *)listener;
     fetch->result = whole && fetch->body->len < MAX_BODY_BYTES ? 0 : -1;
     if (fetch->result != 0) {
         SasError_Set(fetch->error, SAS_EIO, "http.fetch", NULL,
@@ -49,9 +49,10 @@
 }
 
 static void
-on_fail(struct sas_http_user *user, const struct sas_http_failure *failure)
+on_fail(struct sas_http_listener *listener,
+        const struct sas_http_failure *failure)
 {
-    struct fetch *fetch = (struct fetch *)user;
+    struct fetch *fetch = (struct fetch *)listener;
     fetch->result = -1;
     if (fetch->error != NULL) {
         *fetch->error = failure->error;
@@ -61,7 +62,7 @@
     }
 }
 
-static const struct sas_http_user_vtable fetch_vtable = {
+static const struct sas_http_listener_vtable fetch_vtable = {
     .on_head = on_head,
     .on_body = on_body,
     .on_end = on_end,
@@ -69,7 +70,8 @@
 };
 
 static void
-on_conn_closed(struct sas_http_owner *owner, struct sas_http_conn *conn)
+on_conn_closed(struct sas_http_conn_listener *owner,
+               struct sas_http_conn *conn)
 {
     (void)owner;
     (void)conn;
@@ -84,13 +86,13 @@
     uv_loop_t loop;
     uv_loop_init(&loop);
     struct fetch fetch = {
-        .user.vtable = &fetch_vtable,
+        .listener.vtable = &fetch_vtable,
         .response = response,
         .body = g_string_new(NULL),
         .error = error,
         .result = -1,
     };
-    struct sas_http_owner owner = {.on_closed = on_conn_closed};
+    struct sas_http_conn_listener owner = {.on_closed = on_conn_closed};
     struct sas_http_header headers[SasHttp_MAX_HEADERS];
     struct sas_http_request copy = *request;
     int count = MIN(request->header_count, SasHttp_MAX_HEADERS - 1);
@@ -103,7 +105,7 @@
     copy.header_count = count + 1;
     struct sas_http_conn *conn =
         SasHttp_Connect(&loop, address, timeout_ms, &owner);
-    SasHttp_Send(conn, &copy, timeout_ms, &fetch.user);
+    SasHttp_Send(conn, &copy, timeout_ms, &fetch.listener);
     uv_run(&loop, UV_RUN_DEFAULT);
     uv_loop_close(&loop);
     response->body_size = fetch.body->len;
--- a/packages/net/src/http.c
+++ b/packages/net/src/http.c
@@ -26,8 +26,8 @@
     uv_write_t write;
     int open_handles;
     enum conn_state state;
-    struct sas_http_owner *owner;
-    struct sas_http_user *user;
+    struct sas_http_conn_listener *owner;
+    struct sas_http_listener *listener;
     char peer[SasModel_IP_SIZE + 8];
     int64_t opened_at;
     int64_t last_read_at;
@@ -37,8 +37,9 @@
     const char *out_body;
     size_t out_body_size;
     int64_t request_timeout_ms;
-    int64_t pause_ms;
-    int64_t answer_deadline_ms; /* with pause_ms, once the answer has begun */
+    int64_t stall_timeout_ms;
+    int64_t answer_deadline_ms; /* with stall_timeout_ms, once the answer has
+                                   begun */
     bool head_method;
     bool sent;
     bool writing;
@@ -75,7 +76,7 @@
 set_unacked_limit(uv_tcp_t *tcp)
 {
     uv_os_fd_t fd;
-    unsigned int limit_ms = SasHttp_UNACKED_LIMIT_MS;
+    unsigned int limit_ms = SasHttp_UNACKED_TIMEOUT_MS;
     if (uv_fileno((uv_handle_t *)tcp, &fd) == 0) {
         setsockopt(fd, IPPROTO_TCP, TCP_USER_TIMEOUT, &limit_ms,
                    sizeof(limit_ms));
@@ -84,7 +85,8 @@
 
 struct sas_http_conn *
 SasHttp_Connect(uv_loop_t *loop, const struct sas_address *address,
-                int64_t connect_timeout_ms, struct sas_http_owner *owner)
+                int64_t connect_timeout_ms,
+                struct sas_http_conn_listener *owner)
 {
     struct sas_http_conn *conn = g_new0(struct sas_http_conn, 1);
     conn->owner = owner;
@@ -104,7 +106,7 @@
                    (uint64_t)MAX(connect_timeout_ms, 1), 0);
     struct sockaddr_storage storage;
     /* An immediate failure is reported by the timer in the next iteration of
-     * the loop, when the caller has set the user with SasHttp_Send. */
+     * the loop, when the caller has set the listener with SasHttp_Send. */
     if (SasHttp_GetSockaddr(address, &storage) != 0 ||
         uv_tcp_connect(&conn->connect, &conn->tcp,
                        (const struct sockaddr *)&storage, on_connect) != 0) {
@@ -136,7 +138,7 @@
         return;
     }
     conn->state = CONN_CLOSING;
-    conn->user = NULL;
+    conn->listener = NULL;
     uv_close((uv_handle_t *)&conn->tcp, on_handle_closed);
     uv_close((uv_handle_t *)&conn->timer, on_handle_closed);
     if (conn->owner != NULL) {
@@ -147,13 +149,13 @@
 void
 SasHttp_Send(struct sas_http_conn *conn,
              const struct sas_http_request *request, int64_t timeout_ms,
-             struct sas_http_user *user)
+             struct sas_http_listener *listener)
 {
-    conn->user = user;
+    conn->listener = listener;
     conn->out_body = request->body;
     conn->out_body_size = request->body_size;
     conn->request_timeout_ms = MAX(timeout_ms, 1);
-    conn->pause_ms = request->pause_ms;
+    conn->stall_timeout_ms = request->stall_timeout_ms;
     conn->head_method = strcmp(request->method, "HEAD") == 0;
     conn->sent = false;
     conn->begun = false;
@@ -222,12 +224,12 @@
 bool
 SasHttp_IsIdle(const struct sas_http_conn *conn)
 {
-    return conn->state == CONN_IDLE && conn->user == NULL &&
+    return conn->state == CONN_IDLE && conn->listener == NULL &&
            has_no_input(conn);
 }
 
 bool
-SasHttp_HadStrayBytes(const struct sas_http_conn *conn)
+SasHttp_HadUnexpectedBytes(const struct sas_http_conn *conn)
 {
     return conn->stray;
 }
@@ -245,7 +247,7 @@
 }
 
 const char *
-SasHttp_GetReason(int status)
+SasHttp_GetReasonPhrase(int status)
 {
     return http_status_str((enum http_status)status);
 }
@@ -318,7 +320,7 @@
     if (conn->owner != NULL && conn->owner->on_opened != NULL) {
         conn->owner->on_opened(conn->owner, conn);
     }
-    if (conn->user != NULL) {
+    if (conn->listener != NULL) {
         begin_write(conn);
     }
 }
@@ -332,18 +334,18 @@
              "connect timeout or unusable address");
         return;
     }
-    bool stalled = conn->pause_ms > 0 && conn->begun;
+    bool stalled = conn->stall_timeout_ms > 0 && conn->begun;
     fail(conn, SAS_ETIMEOUT, "http.answer",
          stalled ? "the answer stalled or took too long"
                  : "timeout waiting for the answer");
 }
 
-/* Closes the connection and reports the failure to its user, if any. */
+/* Closes the connection and reports the failure to its listener, if any. */
 static void
 fail(struct sas_http_conn *conn, enum sas_error_code code, const char *step,
      const char *text)
 {
-    struct sas_http_user *user = conn->user;
+    struct sas_http_listener *listener = conn->listener;
     struct sas_http_failure failure = {
         .sent = conn->sent,
         .written = conn->sent && !conn->writing,
@@ -351,8 +353,8 @@
     };
     SasError_Set(&failure.error, code, step, conn->peer, "%s", text);
     SasHttp_Close(conn);
-    if (user != NULL) {
-        user->vtable->on_fail(user, &failure);
+    if (listener != NULL) {
+        listener->vtable->on_fail(listener, &failure);
     }
 }
 
@@ -369,15 +371,15 @@
 static void
 finish(struct sas_http_conn *conn, bool reusable)
 {
-    struct sas_http_user *user = conn->user;
+    struct sas_http_listener *listener = conn->listener;
     bool whole = !conn->close_delimited;
-    conn->user = NULL;
+    conn->listener = NULL;
     conn->sent = false;
     uv_timer_stop(&conn->timer);
     reusable = reusable && whole && !conn->writing &&
                http_should_keep_alive(&conn->parser);
     if (reusable) {
-        /* The user may have paused reading during the last bytes; the next
+        /* The listener may have paused reading during the last bytes; the next
          * request on this connection would never get its answer. */
         if (conn->paused) {
             SasHttp_Resume(conn);
@@ -387,7 +389,7 @@
     else {
         SasHttp_Close(conn);
     }
-    user->vtable->on_end(user, whole, reusable);
+    listener->vtable->on_end(listener, whole, reusable);
 }
 
 /* When a reset arrives in the same loop iteration as the last bytes before it,
@@ -412,14 +414,14 @@
 {
     int64_t now_ms = (int64_t)uv_now(conn->tcp.loop);
     if (!conn->begun) {
-        conn->answer_deadline_ms = now_ms + SasHttp_ANSWER_LIMIT_MS;
+        conn->answer_deadline_ms = now_ms + SasHttp_MAX_ANSWER_MS;
     }
     conn->begun = true;
     conn->last_read_at = now_ms;
-    if (conn->pause_ms > 0) {
+    if (conn->stall_timeout_ms > 0) {
         int64_t left_ms = MAX(conn->answer_deadline_ms - now_ms, 0);
         uv_timer_start(&conn->timer, on_timer,
-                       (uint64_t)MIN(conn->pause_ms, left_ms), 0);
+                       (uint64_t)MIN(conn->stall_timeout_ms, left_ms), 0);
     }
 }
 
@@ -430,7 +432,7 @@
     if (count == 0 || conn->state == CONN_CLOSING) {
         return;
     }
-    if (conn->user == NULL) {
+    if (conn->listener == NULL) {
         /* Late bytes of an earlier answer, or the peer's close: this
          * connection must not carry another request. */
         conn->stray = count > 0;
@@ -449,7 +451,7 @@
     size_t used = http_parser_execute(&conn->parser, get_parser_settings(),
                                       data->base, size);
     if (conn->state == CONN_CLOSING) {
-        return; /* the user closed it in a callback */
+        return; /* the listener closed it in a callback */
     }
     if (conn->ended) {
         conn->stray = used < size;
@@ -502,8 +504,8 @@
     conn->close_delimited = !no_body && !(parser->flags & F_CHUNKED) &&
                             !(parser->flags & F_CONTENTLENGTH);
     SasHttpHead_Finish(&conn->head);
-    conn->user->vtable->on_head(conn->user, (int)parser->status_code,
-                                conn->head.fields, conn->head.count);
+    conn->listener->vtable->on_head(conn->listener, (int)parser->status_code,
+                                    conn->head.fields, conn->head.count);
     if (conn->state == CONN_CLOSING) {
         return -1;
     }
@@ -517,7 +519,7 @@
     if (conn->skipping) {
         return 0;
     }
-    conn->user->vtable->on_body(conn->user, at, length);
+    conn->listener->vtable->on_body(conn->listener, at, length);
     return conn->state == CONN_CLOSING ? -1 : 0;
 }
 
--- a/packages/net/src/http_exchange.c
+++ b/packages/net/src/http_exchange.c
@@ -1,7 +1,7 @@
 #include <stdio.h>
 #include <string.h>
 
-#include "http_connection.h"
+#include "http_server_conn.h"
 #include "sas/http.h"
 
 /* The request. */
@@ -39,7 +39,7 @@
 }
 
 int64_t
-SasHttpExchange_GetBeganAt(const struct sas_http_exchange *e)
+SasHttpExchange_GetReceivedAt(const struct sas_http_exchange *e)
 {
     return e->began_at;
 }
@@ -61,7 +61,7 @@
 {
     GString *text = g_string_sized_new(512 + reply->body_size);
     g_string_append_printf(text, "HTTP/1.1 %d %s\r\n", reply->status,
-                           SasHttp_GetReason(reply->status));
+                           SasHttp_GetReasonPhrase(reply->status));
     e->headers_offset = text->len;
     for (int i = 0; i < reply->header_count; i++) {
         g_string_append(text, reply->headers[i].name);
@@ -85,7 +85,7 @@
                       const struct sas_http_reply *reply)
 {
     e->answer = format_reply(e, reply);
-    SasHttpConnection_Flush(e->connection);
+    SasHttpServerConn_Flush(e->connection);
 }
 
 void
@@ -110,7 +110,7 @@
 /* The queue of a connection. */
 
 struct sas_http_exchange *
-SasHttpExchange_New(struct sas_http_connection *c)
+SasHttpExchange_New(struct sas_http_server_conn *c)
 {
     struct sas_http_exchange *e = g_new0(struct sas_http_exchange, 1);
     e->connection = c;
@@ -131,7 +131,7 @@
 }
 
 void
-SasHttpExchange_FreeFirst(struct sas_http_connection *c)
+SasHttpExchange_FreeFirst(struct sas_http_server_conn *c)
 {
     struct sas_http_exchange *e = c->first;
     c->first = e->next;
--- a/packages/net/src/http_head.c
+++ b/packages/net/src/http_head.c
@@ -107,7 +107,7 @@
 }
 
 bool
-SasHttp_IsHopHeader(const char *name)
+SasHttp_IsHopByHopHeader(const char *name)
 {
     for (size_t i = 0; i < G_N_ELEMENTS(hop_by_hop_headers); i++) {
         if (strcasecmp(name, hop_by_hop_headers[i]) == 0) {
--- a/packages/net/src/http_server.c
+++ b/packages/net/src/http_server.c
@@ -2,7 +2,7 @@
 
 #include <stdio.h>
 
-#include "http_connection.h"
+#include "http_server_conn.h"
 #include "sas/http.h"
 
 #define LISTEN_BACKLOG 1024
@@ -10,13 +10,13 @@
 #define STEP "server.listen"
 
 const char *
-SasHttp_GetEndName(enum sas_http_end end)
+SasHttp_GetCloseReasonName(enum sas_http_close_reason end)
 {
-    static const char *const names[SAS_HTTP_END_COUNT] = {
-        [SAS_HTTP_END_CALLER] = "caller",
-        [SAS_HTTP_END_ANSWER] = "answer",
-        [SAS_HTTP_END_IDLE] = "idle",
-        [SAS_HTTP_END_SERVER] = "server",
+    static const char *const names[SAS_HTTP_CLOSE_COUNT] = {
+        [SAS_HTTP_CLOSE_CALLER] = "caller",
+        [SAS_HTTP_CLOSE_ANSWER] = "answer",
+        [SAS_HTTP_CLOSE_IDLE] = "idle",
+        [SAS_HTTP_CLOSE_SERVER] = "server",
     };
     return names[end];
 }
@@ -25,7 +25,7 @@
 on_accept(uv_stream_t *listener, int status)
 {
     if (status == 0) {
-        SasHttpConnection_Accept(listener->data);
+        SasHttpServerConn_Accept(listener->data);
     }
 }
 
@@ -34,10 +34,10 @@
 {
     struct sas_http_server *server = timer->data;
     int64_t now_ms = (int64_t)uv_now(server->loop);
-    struct sas_http_connection *c = server->connections;
+    struct sas_http_server_conn *c = server->connections;
     while (c != NULL) {
-        struct sas_http_connection *next = c->next;
-        SasHttpConnection_Sweep(c, now_ms);
+        struct sas_http_server_conn *next = c->next;
+        SasHttpServerConn_Sweep(c, now_ms);
         c = next;
     }
 }
@@ -96,7 +96,7 @@
     }
     server->closed = true;
     while (server->connections != NULL) {
-        SasHttpConnection_Close(server->connections, SAS_HTTP_END_SERVER);
+        SasHttpServerConn_Close(server->connections, SAS_HTTP_CLOSE_SERVER);
     }
     uv_close((uv_handle_t *)&server->listener, on_server_handle_closed);
     uv_close((uv_handle_t *)&server->sweep, on_server_handle_closed);
@@ -126,7 +126,7 @@
 }
 
 int
-SasHttpServer_CountExchanges(const struct sas_http_server *server)
+SasHttpServer_CountPending(const struct sas_http_server *server)
 {
     return server->exchange_count;
 }
@@ -138,12 +138,12 @@
 }
 
 int
-SasHttpServer_CountBusy(const struct sas_http_server *server)
+SasHttpServer_CountBusyConnections(const struct sas_http_server *server)
 {
     int count = 0;
-    for (const struct sas_http_connection *c = server->connections; c != NULL;
+    for (const struct sas_http_server_conn *c = server->connections; c != NULL;
          c = c->next) {
-        count += SasHttpConnection_IsBusy(c) ? 1 : 0;
+        count += SasHttpServerConn_IsBusy(c) ? 1 : 0;
     }
     return count;
 }
--- a/packages/net/src/http_connection.c
+++ b/packages/net/src/http_server_conn.c
@@ -1,4 +1,4 @@
-#include "http_connection.h"
+#include "http_server_conn.h"
 
 #include <linux/sockios.h>
 #include <sys/ioctl.h>
@@ -14,14 +14,14 @@
 struct write {
     uv_write_t request;
     GString *bytes;
-    struct sas_http_connection *connection;
+    struct sas_http_server_conn *connection;
     bool close_after;
 };
 
 static _Thread_local char read_buffer[READ_BUFFER_SIZE];
 
 static const http_parser_settings *get_parser_settings(void);
-static void refuse_request(struct sas_http_connection *c, int status);
+static void refuse_request(struct sas_http_server_conn *c, int status);
 static void on_alloc(uv_handle_t *handle, size_t suggested, uv_buf_t *buffer);
 static void on_read(uv_stream_t *stream, ssize_t count, const uv_buf_t *data);
 
@@ -38,12 +38,12 @@
  * arrives. A close with unread bytes would send a reset, which may overtake
  * the answer. */
 static void
-linger(struct sas_http_connection *c)
+linger(struct sas_http_server_conn *c)
 {
     c->state = CONNECTION_LINGERING;
     c->active_at = (int64_t)uv_now(c->server->loop);
     if (uv_shutdown(&c->shutdown, (uv_stream_t *)&c->tcp, on_shutdown) != 0) {
-        SasHttpConnection_Close(c, SAS_HTTP_END_ANSWER);
+        SasHttpServerConn_Close(c, SAS_HTTP_CLOSE_ANSWER);
     }
 }
 
@@ -51,9 +51,9 @@
 on_written(uv_write_t *request, int status)
 {
     struct write *write = (struct write *)request;
-    struct sas_http_connection *c = write->connection;
+    struct sas_http_server_conn *c = write->connection;
     if (status != 0) {
-        SasHttpConnection_Close(c, SAS_HTTP_END_CALLER);
+        SasHttpServerConn_Close(c, SAS_HTTP_CLOSE_CALLER);
     }
     else if (write->close_after && c->state != CONNECTION_CLOSED) {
         linger(c);
@@ -63,7 +63,7 @@
 }
 
 static void
-resume_reading(struct sas_http_connection *c)
+resume_reading(struct sas_http_server_conn *c)
 {
     if (c->paused && c->pending < SasHttpServer_MAX_PIPELINE) {
         c->paused = false;
@@ -78,7 +78,7 @@
 static bool
 is_closing_answer(const struct sas_http_exchange *e)
 {
-    const struct sas_http_connection *c = e->connection;
+    const struct sas_http_server_conn *c = e->connection;
     return !e->keep_alive ||
            (c->server->draining && e->next == NULL && c->reading == NULL);
 }
@@ -95,14 +95,14 @@
 }
 
 static bool
-is_answer_ready(const struct sas_http_connection *c)
+is_answer_ready(const struct sas_http_server_conn *c)
 {
     return c->state < CONNECTION_LAST_ANSWER && !c->parsing &&
            c->first != NULL && c->first->answer != NULL;
 }
 
 void
-SasHttpConnection_Flush(struct sas_http_connection *c)
+SasHttpServerConn_Flush(struct sas_http_server_conn *c)
 {
     if (!is_answer_ready(c)) {
         return;
@@ -126,7 +126,7 @@
                  on_written) != 0) {
         g_string_free(write->bytes, TRUE);
         g_free(write);
-        SasHttpConnection_Close(c, SAS_HTTP_END_CALLER);
+        SasHttpServerConn_Close(c, SAS_HTTP_CLOSE_CALLER);
         return;
     }
     resume_reading(c);
@@ -149,7 +149,7 @@
 /* Bytes of answers that wait in libuv, or in the kernel for the caller's
  * acknowledgement. */
 static size_t
-count_unsent(const struct sas_http_connection *c)
+count_unsent(const struct sas_http_server_conn *c)
 {
     uv_os_fd_t fd;
     int unacked = 0;
@@ -163,7 +163,7 @@
 
 /* Bytes that wait in the socket, at most MAX_UNREAD_COUNT. */
 static size_t
-count_unread(const struct sas_http_connection *c)
+count_unread(const struct sas_http_server_conn *c)
 {
     char bytes[MAX_UNREAD_COUNT];
     uv_os_fd_t fd;
@@ -175,27 +175,29 @@
 }
 
 static void
-report_close(const struct sas_http_connection *c, enum sas_http_end end)
+report_close(const struct sas_http_server_conn *c,
+             enum sas_http_close_reason end)
 {
     struct sas_http_handler *handler = c->server->handler;
     if (handler->on_closed == NULL) {
         return;
     }
-    struct sas_http_leftover leftover = {
+    struct sas_http_close_stats close_stats = {
         .end = end,
         .unsent_bytes = c->caller_closed ? 0 : count_unsent(c),
-        .unread_bytes = end == SAS_HTTP_END_CALLER ? 0 : count_unread(c),
+        .unread_bytes = end == SAS_HTTP_CLOSE_CALLER ? 0 : count_unread(c),
         .idle_ms = (int64_t)uv_now(c->server->loop) - c->active_at,
     };
     for (struct sas_http_exchange *e = c->first; e != NULL; e = e->next) {
-        leftover.unanswered += is_unanswered(e) ? 1 : 0;
+        close_stats.unanswered += is_unanswered(e) ? 1 : 0;
     }
-    handler->on_closed(handler, &leftover);
+    handler->on_closed(handler, &close_stats);
 }
 
 /* Frees all exchanges; reports those that the handler hasn't answered. */
 static void
-abandon_exchanges(struct sas_http_connection *c, enum sas_http_end end)
+abandon_exchanges(struct sas_http_server_conn *c,
+                  enum sas_http_close_reason end)
 {
     struct sas_http_handler *handler = c->server->handler;
     while (c->first != NULL) {
@@ -208,7 +210,8 @@
 }
 
 void
-SasHttpConnection_Close(struct sas_http_connection *c, enum sas_http_end end)
+SasHttpServerConn_Close(struct sas_http_server_conn *c,
+                        enum sas_http_close_reason end)
 {
     if (c->state == CONNECTION_CLOSED) {
         return;
@@ -231,10 +234,10 @@
 }
 
 void
-SasHttpConnection_Accept(struct sas_http_server *server)
+SasHttpServerConn_Accept(struct sas_http_server *server)
 {
     uv_stream_t *listener = (uv_stream_t *)&server->listener;
-    struct sas_http_connection *c = g_new0(struct sas_http_connection, 1);
+    struct sas_http_server_conn *c = g_new0(struct sas_http_server_conn, 1);
     c->server = server;
     uv_tcp_init(server->loop, &c->tcp);
     c->tcp.data = c;
@@ -257,7 +260,7 @@
 }
 
 bool
-SasHttpConnection_IsBusy(const struct sas_http_connection *c)
+SasHttpServerConn_IsBusy(const struct sas_http_server_conn *c)
 {
     return c->first != NULL || c->state != CONNECTION_OPEN ||
            count_unsent(c) > 0 || count_unread(c) > 0;
@@ -265,19 +268,19 @@
 
 /* The idle timeout of the current state; 0: no limit. */
 static int64_t
-get_idle_limit(const struct sas_http_connection *c)
+get_idle_limit(const struct sas_http_server_conn *c)
 {
     const struct sas_http_server *server = c->server;
     bool lingering = c->state == CONNECTION_LINGERING;
     bool draining = server->draining && c->state == CONNECTION_OPEN;
     if ((!lingering && !draining) || count_unsent(c) > 0) {
-        return server->limits.idle_ms;
+        return server->limits.idle_timeout_ms;
     }
     return lingering ? LINGER_MS : server->drain_idle_ms;
 }
 
 static bool
-is_idle(const struct sas_http_connection *c, int64_t now_ms)
+is_idle(const struct sas_http_server_conn *c, int64_t now_ms)
 {
     int64_t limit_ms = get_idle_limit(c);
     return c->first == NULL && limit_ms > 0 &&
@@ -285,16 +288,16 @@
 }
 
 static bool
-has_head_timed_out(const struct sas_http_connection *c, int64_t now_ms)
+has_head_timed_out(const struct sas_http_server_conn *c, int64_t now_ms)
 {
     return c->reading != NULL && c->reading->method == NULL && !c->paused &&
-           now_ms - c->head_since > c->server->limits.header_ms;
+           now_ms - c->head_since > c->server->limits.header_timeout_ms;
 }
 
 /* True if the number of unsent bytes has changed since the last call: a caller
  * that reads slowly is not idle. */
 static bool
-update_send_progress(struct sas_http_connection *c, int64_t now_ms)
+update_send_progress(struct sas_http_server_conn *c, int64_t now_ms)
 {
     size_t unsent = count_unsent(c);
     if (unsent == c->last_unsent) {
@@ -306,7 +309,7 @@
 }
 
 void
-SasHttpConnection_Sweep(struct sas_http_connection *c, int64_t now_ms)
+SasHttpServerConn_Sweep(struct sas_http_server_conn *c, int64_t now_ms)
 {
     bool head_timed_out = has_head_timed_out(c, now_ms);
     if (!head_timed_out && !is_idle(c, now_ms)) {
@@ -319,9 +322,9 @@
         refuse_request(c, 408);
         return;
     }
-    SasHttpConnection_Close(c, c->state == CONNECTION_LINGERING
-                                   ? SAS_HTTP_END_ANSWER
-                                   : SAS_HTTP_END_IDLE);
+    SasHttpServerConn_Close(c, c->state == CONNECTION_LINGERING
+                                   ? SAS_HTTP_CLOSE_ANSWER
+                                   : SAS_HTTP_CLOSE_IDLE);
 }
 
 /* Reading. */
@@ -337,7 +340,7 @@
 /* Answers the request that is being read with an error. The start of the next
  * request is unknown then, so the answer closes the connection. */
 static void
-refuse_request(struct sas_http_connection *c, int status)
+refuse_request(struct sas_http_server_conn *c, int status)
 {
     if (c->reading == NULL) {
         c->reading = SasHttpExchange_New(c);
@@ -360,7 +363,7 @@
 }
 
 static void
-parse(struct sas_http_connection *c, const char *data, size_t size)
+parse(struct sas_http_server_conn *c, const char *data, size_t size)
 {
     c->parsing = true;
     size_t used =
@@ -371,21 +374,21 @@
          used != size)) {
         refuse_request(c, c->error_status != 0 ? c->error_status : 400);
     }
-    SasHttpConnection_Flush(c);
+    SasHttpServerConn_Flush(c);
 }
 
 static void
 on_read(uv_stream_t *stream, ssize_t count, const uv_buf_t *data)
 {
-    struct sas_http_connection *c = stream->data;
+    struct sas_http_server_conn *c = stream->data;
     if (count == 0) {
         return;
     }
     if (count < 0) {
         c->caller_closed = count == UV_EOF;
-        SasHttpConnection_Close(c, c->state == CONNECTION_LINGERING
-                                       ? SAS_HTTP_END_ANSWER
-                                       : SAS_HTTP_END_CALLER);
+        SasHttpServerConn_Close(c, c->state == CONNECTION_LINGERING
+                                       ? SAS_HTTP_CLOSE_ANSWER
+                                       : SAS_HTTP_CLOSE_CALLER);
         return;
     }
     if (c->state != CONNECTION_OPEN) {
@@ -405,7 +408,7 @@
 static int
 on_message_begin(http_parser *parser)
 {
-    struct sas_http_connection *c = parser->data;
+    struct sas_http_server_conn *c = parser->data;
     c->reading = SasHttpExchange_New(c);
     c->head_since = c->reading->began_at;
     c->error_status = 0;
@@ -415,7 +418,7 @@
 static int
 on_url(http_parser *parser, const char *at, size_t length)
 {
-    struct sas_http_connection *c = parser->data;
+    struct sas_http_server_conn *c = parser->data;
     if (c->reading->target->len + length > c->server->limits.header_bytes) {
         c->error_status = 431;
         return -1;
@@ -426,7 +429,7 @@
 
 /* Sets status 431 if the head has become too long; returns appended. */
 static int
-check_head(struct sas_http_connection *c, int appended)
+check_head(struct sas_http_server_conn *c, int appended)
 {
     if (appended != 0) {
         c->error_status = 431;
@@ -437,7 +440,7 @@
 static int
 on_header_field(http_parser *parser, const char *at, size_t length)
 {
-    struct sas_http_connection *c = parser->data;
+    struct sas_http_server_conn *c = parser->data;
     if (parser->flags & F_TRAILING) {
         return 0;
     }
@@ -449,7 +452,7 @@
 static int
 on_header_value(http_parser *parser, const char *at, size_t length)
 {
-    struct sas_http_connection *c = parser->data;
+    struct sas_http_server_conn *c = parser->data;
     if (parser->flags & F_TRAILING) {
         return 0;
     }
@@ -461,7 +464,7 @@
 static int
 on_headers_complete(http_parser *parser)
 {
-    struct sas_http_connection *c = parser->data;
+    struct sas_http_server_conn *c = parser->data;
     struct sas_http_exchange *e = c->reading;
     SasHttpHead_Finish(&e->head);
     e->method = g_strdup(http_method_str(parser->method));
@@ -491,7 +494,7 @@
 static int
 on_body(http_parser *parser, const char *at, size_t length)
 {
-    struct sas_http_connection *c = parser->data;
+    struct sas_http_server_conn *c = parser->data;
     struct sas_http_server *server = c->server;
     GString *body = c->reading->body;
     if (body->len + length > server->limits.body_bytes) {
@@ -510,7 +513,7 @@
 static int
 on_message_complete(http_parser *parser)
 {
-    struct sas_http_connection *c = parser->data;
+    struct sas_http_server_conn *c = parser->data;
     struct sas_http_exchange *e = c->reading;
     c->reading = NULL;
     e->dispatched = true;
--- a/packages/net/src/http_connection.h
+++ b/packages/net/src/http_server_conn.h
@@ -1,9 +1,9 @@
-/* http_connection - one caller's connection to an HTTP server: its exchanges
+/* http_server_conn - one caller's connection to an HTTP server: its exchanges
  * in order, reading and writing. Private to http_server.c, http_exchange.c and
- * http_connection.c.
+ * http_server_conn.c.
  */
-#ifndef SAS_HTTP_CONNECTION_H
-#define SAS_HTTP_CONNECTION_H
+#ifndef SAS_HTTP_SERVER_CONN_H
+#define SAS_HTTP_SERVER_CONN_H
 
 #include <glib.h>
 #include <http_parser.h>
@@ -20,7 +20,7 @@
 };
 
 struct sas_http_exchange {
-    struct sas_http_connection *connection;
+    struct sas_http_server_conn *connection;
     struct sas_http_exchange *next;
     struct sas_http_head head;
     char *method;
@@ -34,11 +34,11 @@
     void *user;
 };
 
-struct sas_http_connection {
+struct sas_http_server_conn {
     uv_tcp_t tcp;
     struct sas_http_server *server;
-    struct sas_http_connection *previous;
-    struct sas_http_connection *next;
+    struct sas_http_server_conn *previous;
+    struct sas_http_server_conn *next;
     http_parser parser;
     struct sas_http_exchange *first; /* oldest whose answer isn't sent */
     struct sas_http_exchange *last;
@@ -61,7 +61,7 @@
     uv_timer_t sweep;
     struct sas_http_server_limits limits;
     struct sas_http_handler *handler;
-    struct sas_http_connection *connections;
+    struct sas_http_server_conn *connections;
     int connection_count;
     int exchange_count;
     size_t body_bytes; /* request bodies in memory */
@@ -72,23 +72,23 @@
 };
 
 /* Accepts a connection from the listener's queue. */
-void SasHttpConnection_Accept(struct sas_http_server *server);
+void SasHttpServerConn_Accept(struct sas_http_server *server);
 
 /* Enforces the idle and header timeouts; called periodically. */
-void SasHttpConnection_Sweep(struct sas_http_connection *c, int64_t now_ms);
+void SasHttpServerConn_Sweep(struct sas_http_server_conn *c, int64_t now_ms);
 
-/* True if work on it is unfinished, see SasHttpServer_CountBusy. */
-bool SasHttpConnection_IsBusy(const struct sas_http_connection *c);
+/* True if work on it is unfinished, see SasHttpServer_CountBusyConnections. */
+bool SasHttpServerConn_IsBusy(const struct sas_http_server_conn *c);
 
 /* Sends the answers that no unanswered exchange precedes. */
-void SasHttpConnection_Flush(struct sas_http_connection *c);
+void SasHttpServerConn_Flush(struct sas_http_server_conn *c);
 
 /* Closes the connection at once and abandons its exchanges. */
-void SasHttpConnection_Close(struct sas_http_connection *c,
-                             enum sas_http_end end);
+void SasHttpServerConn_Close(struct sas_http_server_conn *c,
+                             enum sas_http_close_reason end);
 
 /* Appends a new exchange to a connection; frees the oldest one. */
-struct sas_http_exchange *SasHttpExchange_New(struct sas_http_connection *c);
-void SasHttpExchange_FreeFirst(struct sas_http_connection *c);
+struct sas_http_exchange *SasHttpExchange_New(struct sas_http_server_conn *c);
+void SasHttpExchange_FreeFirst(struct sas_http_server_conn *c);
 
 #endif
--- a/packages/net/tests/http_fixture.c
+++ b/packages/net/tests/http_fixture.c
@@ -19,7 +19,7 @@
 
 static void
 on_abandoned(struct sas_http_handler *handler, struct sas_http_exchange *e,
-             enum sas_http_end end)
+             enum sas_http_close_reason end)
 {
     (void)e;
     (void)end;
@@ -28,11 +28,11 @@
 
 static void
 on_closed(struct sas_http_handler *handler,
-          const struct sas_http_leftover *leftover)
+          const struct sas_http_close_stats *close_stats)
 {
     struct fixture *f = (struct fixture *)handler;
     f->closed++;
-    f->leftover = *leftover;
+    f->close_stats = *close_stats;
 }
 
 void
@@ -108,8 +108,8 @@
         .header_bytes = 1000,
         .body_bytes = given->body_bytes,
         .bodies_bytes = 2 * given->body_bytes,
-        .header_ms = given->header_ms,
-        .idle_ms = given->idle_ms,
+        .header_timeout_ms = given->header_ms,
+        .idle_timeout_ms = given->idle_ms,
         .connections = 4,
     };
     struct sas_error error = {0};
--- a/packages/net/tests/http_fixture.h
+++ b/packages/net/tests/http_fixture.h
@@ -28,8 +28,8 @@
     int held_count;
     bool refuses_next; /* answer the next request with 503 at once */
     int abandoned;
-    int closed;                        /* calls of on_closed */
-    struct sas_http_leftover leftover; /* of the last call */
+    int closed;                              /* calls of on_closed */
+    struct sas_http_close_stats close_stats; /* of the last call */
     uv_tcp_t client;
     uv_connect_t connect;
     uv_write_t write;
--- a/packages/net/tests/http_server_shim.c
+++ b/packages/net/tests/http_server_shim.c
@@ -36,7 +36,7 @@
     char *target;
     char *body;
     enum state state;
-    enum sas_http_end end; /* of an abandoned one */
+    enum sas_http_close_reason end; /* of an abandoned one */
 };
 
 struct reaction {
@@ -59,7 +59,7 @@
     GArray *requests;     /* struct request, in the order of on_request */
     GArray *reactions;    /* struct reaction, for the next requests */
     GArray *timers;       /* struct timer */
-    GArray *closed;       /* struct sas_http_leftover */
+    GArray *closed;       /* struct sas_http_close_stats */
     int unknown_abandons; /* of exchanges that aren't held */
     int after_close;      /* requests dispatched after the server's close */
     uint64_t now;
@@ -263,7 +263,7 @@
 
 static void
 on_abandoned(struct sas_http_handler *handler, struct sas_http_exchange *e,
-             enum sas_http_end end)
+             enum sas_http_close_reason end)
 {
     struct rig *rig = (struct rig *)handler;
     for (int i = 0; i < (int)rig->requests->len; i++) {
@@ -280,9 +280,9 @@
 
 static void
 on_closed(struct sas_http_handler *handler,
-          const struct sas_http_leftover *leftover)
+          const struct sas_http_close_stats *close_stats)
 {
-    g_array_append_val(((struct rig *)handler)->closed, *leftover);
+    g_array_append_val(((struct rig *)handler)->closed, *close_stats);
 }
 
 /* The server. */
@@ -318,7 +318,8 @@
     g_array_set_clear_func(rig->requests, clear_request);
     rig->reactions = g_array_new(FALSE, FALSE, sizeof(struct reaction));
     rig->timers = g_array_new(FALSE, FALSE, sizeof(struct timer));
-    rig->closed = g_array_new(FALSE, FALSE, sizeof(struct sas_http_leftover));
+    rig->closed =
+        g_array_new(FALSE, FALSE, sizeof(struct sas_http_close_stats));
     uv_loop_init(&rig->loop);
     rig->loop.data = rig;
     struct sas_address address = {"127.0.0.1", 0};
@@ -370,8 +371,8 @@
         .header_bytes = (size_t)header_bytes,
         .body_bytes = (size_t)body_bytes,
         .bodies_bytes = (size_t)bodies_bytes,
-        .header_ms = header_ms,
-        .idle_ms = idle_ms,
+        .header_timeout_ms = header_ms,
+        .idle_timeout_ms = idle_ms,
         .connections = 4,
     };
     SasHttpServer_SetLimits(rig->server, &limits);
@@ -433,7 +434,7 @@
 const char *
 SasShim_GetEnd(const struct rig *rig, int index)
 {
-    return SasHttp_GetEndName(get_request(rig, index)->end);
+    return SasHttp_GetCloseReasonName(get_request(rig, index)->end);
 }
 
 int
@@ -457,14 +458,14 @@
 const char *
 SasShim_GetClosedEnd(const struct rig *rig, int index)
 {
-    return SasHttp_GetEndName(
-        g_array_index(rig->closed, struct sas_http_leftover, index).end);
+    return SasHttp_GetCloseReasonName(
+        g_array_index(rig->closed, struct sas_http_close_stats, index).end);
 }
 
 int
 SasShim_CountExchanges(const struct rig *rig)
 {
-    return SasHttpServer_CountExchanges(rig->server);
+    return SasHttpServer_CountPending(rig->server);
 }
 
 int
@@ -476,7 +477,7 @@
 int
 SasShim_CountBusy(const struct rig *rig)
 {
-    return SasHttpServer_CountBusy(rig->server);
+    return SasHttpServer_CountBusyConnections(rig->server);
 }
 
 static void
--- a/packages/net/tests/test_http.c
+++ b/packages/net/tests/test_http.c
@@ -20,8 +20,8 @@
 };
 
 struct client {
-    struct sas_http_user user;
-    struct sas_http_owner owner;
+    struct sas_http_listener listener;
+    struct sas_http_conn_listener owner;
     struct sas_http_conn *conn;
     struct server *server;
     int status;
@@ -120,18 +120,18 @@
 }
 
 static void
-client_head(struct sas_http_user *user, int status,
+client_head(struct sas_http_listener *listener, int status,
             const struct sas_http_header *headers, int header_count)
 {
-    struct client *client = (struct client *)user;
+    struct client *client = (struct client *)listener;
     client->status = status;
     assert_non_null(SasHttp_FindHeader(headers, header_count, "x-test"));
 }
 
 static void
-client_body(struct sas_http_user *user, const char *data, size_t size)
+client_body(struct sas_http_listener *listener, const char *data, size_t size)
 {
-    struct client *client = (struct client *)user;
+    struct client *client = (struct client *)listener;
     g_string_append_len(client->body, data, (gssize)size);
     if (client->pauses) {
         SasHttp_Pause(client->conn);
@@ -139,16 +139,16 @@
 }
 
 static void
-client_end(struct sas_http_user *user, bool whole, bool reusable)
+client_end(struct sas_http_listener *listener, bool whole, bool reusable)
 {
-    struct client *client = (struct client *)user;
+    struct client *client = (struct client *)listener;
     client->ends++;
     client->whole = whole;
     client->reusable = reusable;
     if (reusable && client->pauses) {
         struct sas_http_request request = {.method = "GET", .target = "/"};
         client->pauses = false;
-        SasHttp_Send(client->conn, &request, 5000, &client->user);
+        SasHttp_Send(client->conn, &request, 5000, &client->listener);
         return;
     }
     if (reusable) {
@@ -158,16 +158,17 @@
 }
 
 static void
-client_fail(struct sas_http_user *user, const struct sas_http_failure *failure)
+client_fail(struct sas_http_listener *listener,
+            const struct sas_http_failure *failure)
 {
-    struct client *client = (struct client *)user;
+    struct client *client = (struct client *)listener;
     client->fails++;
     client->failure = *failure;
     stop_server(client->server);
 }
 
 static void
-client_closed(struct sas_http_owner *owner, struct sas_http_conn *conn)
+client_closed(struct sas_http_conn_listener *owner, struct sas_http_conn *conn)
 {
     (void)conn;
     struct client *client =
@@ -175,7 +176,7 @@
     client->closes++;
 }
 
-static const struct sas_http_user_vtable client_vtable = {
+static const struct sas_http_listener_vtable client_vtable = {
     client_head, client_body, client_end, client_fail};
 
 static struct client
@@ -185,14 +186,14 @@
     uv_loop_init(&loop);
     start_server(&loop, &server);
     struct client client = {
-        .user.vtable = &client_vtable,
+        .listener.vtable = &client_vtable,
         .owner.on_closed = client_closed,
         .server = &server,
         .body = g_string_new(NULL),
     };
     struct sas_address address = {"127.0.0.1", server.port};
     client.conn = SasHttp_Connect(&loop, &address, 5000, &client.owner);
-    SasHttp_Send(client.conn, request, 5000, &client.user);
+    SasHttp_Send(client.conn, request, 5000, &client.listener);
     uv_run(&loop, UV_RUN_DEFAULT);
     assert_int_equal(uv_loop_close(&loop), 0);
     assert_int_equal(client.closes, 1);
@@ -274,7 +275,7 @@
             "HTTP/1.1 200 OK\r\nx-test: 1\r\ncontent-length: 9\r\n\r\nhi",
     };
     struct sas_http_request request = {
-        .method = "GET", .target = "/", .pause_ms = 50};
+        .method = "GET", .target = "/", .stall_timeout_ms = 50};
     struct client client = exchange_request(server, &request);
     assert_int_equal(client.failure.error.code, SAS_ETIMEOUT);
     assert_string_equal(client.failure.error.text,
@@ -334,7 +335,7 @@
     expect(&client, 1, true, true, "hi");
 }
 
-/* Guards against a reused connection that isn't read: the user had paused
+/* Guards against a reused connection that isn't read: the listener had paused
  * reading (a slow caller) when the last bytes of an answer arrived. */
 static void
 test_a_paused_answer_leaves_the_connection_readable(void **state)
@@ -347,7 +348,7 @@
                   "hi"};
     start_server(&loop, &server);
     struct client client = {
-        .user.vtable = &client_vtable,
+        .listener.vtable = &client_vtable,
         .owner.on_closed = client_closed,
         .server = &server,
         .pauses = true,
@@ -356,7 +357,7 @@
     struct sas_address address = {"127.0.0.1", server.port};
     struct sas_http_request request = {.method = "GET", .target = "/"};
     client.conn = SasHttp_Connect(&loop, &address, 5000, &client.owner);
-    SasHttp_Send(client.conn, &request, 5000, &client.user);
+    SasHttp_Send(client.conn, &request, 5000, &client.listener);
     uv_run(&loop, UV_RUN_DEFAULT);
     assert_int_equal(uv_loop_close(&loop), 0);
     assert_int_equal(client.fails, 0);
@@ -366,10 +367,11 @@
 }
 
 static void
-client_end_keep_open(struct sas_http_user *user, bool whole, bool reusable)
+client_end_keep_open(struct sas_http_listener *listener, bool whole,
+                     bool reusable)
 {
     (void)whole;
-    struct client *client = (struct client *)user;
+    struct client *client = (struct client *)listener;
     client->ends++;
     client->reusable = reusable;
 }
@@ -380,7 +382,7 @@
 test_a_connection_closed_by_its_server_is_not_idle(void **state)
 {
     (void)state;
-    static const struct sas_http_user_vtable vtable = {
+    static const struct sas_http_listener_vtable vtable = {
         client_head, client_body, client_end_keep_open, client_fail};
     uv_loop_t loop;
     uv_loop_init(&loop);
@@ -389,7 +391,7 @@
                   "hi"};
     start_server(&loop, &server);
     struct client client = {
-        .user.vtable = &vtable,
+        .listener.vtable = &vtable,
         .owner.on_closed = client_closed,
         .server = &server,
         .body = g_string_new(NULL),
@@ -397,7 +399,7 @@
     struct sas_address address = {"127.0.0.1", server.port};
     struct sas_http_request request = {.method = "GET", .target = "/"};
     client.conn = SasHttp_Connect(&loop, &address, 5000, &client.owner);
-    SasHttp_Send(client.conn, &request, 5000, &client.user);
+    SasHttp_Send(client.conn, &request, 5000, &client.listener);
     while (client.ends + client.fails == 0) {
         uv_run(&loop, UV_RUN_ONCE);
     }
--- a/packages/net/tests/test_http_server.c
+++ b/packages/net/tests/test_http_server.c
@@ -56,11 +56,11 @@
     (void)state;
     struct fixture *f = start(1000);
     write_and_run(f, "GET /1 HTTP/1.1\r\n\r\nGET /2 HTTP/1.1\r\n\r\n");
-    assert_int_equal(SasHttpServer_CountExchanges(f->server), 2);
+    assert_int_equal(SasHttpServer_CountPending(f->server), 2);
     uv_close((uv_handle_t *)&f->client, NULL);
     run_loop(f);
     assert_int_equal(f->abandoned, 2);
-    assert_int_equal(SasHttpServer_CountExchanges(f->server), 0);
+    assert_int_equal(SasHttpServer_CountPending(f->server), 0);
     stop(f);
 }
 
@@ -184,10 +184,10 @@
     assert_non_null(strstr(f->received->str, "first"));
     assert_int_equal(f->end, UV_EOF);
     assert_int_equal(f->held_count, 1);
-    assert_int_equal(SasHttpServer_CountBusy(f->server), 1);
+    assert_int_equal(SasHttpServer_CountBusyConnections(f->server), 1);
     uv_close((uv_handle_t *)&f->client, NULL);
     run_loop(f);
-    assert_int_equal(SasHttpServer_CountBusy(f->server), 0);
+    assert_int_equal(SasHttpServer_CountBusyConnections(f->server), 0);
     stop(f);
 }
 
@@ -202,8 +202,8 @@
     uv_read_stop((uv_stream_t *)&f->client);
     g_autofree char *body = g_strnfill(LARGE_BODY, 'x');
     reply(f, 0, body);
-    assert_int_equal(SasHttpServer_CountExchanges(f->server), 0);
-    assert_int_equal(SasHttpServer_CountBusy(f->server), 1);
+    assert_int_equal(SasHttpServer_CountPending(f->server), 0);
+    assert_int_equal(SasHttpServer_CountBusyConnections(f->server), 1);
     SasHttpServer_Drain(f->server, 1);
     for (int i = 0; i < 20; i++) {
         run_loop(f);
@@ -241,12 +241,12 @@
 {
     (void)state;
     struct fixture *f = start(1000);
-    assert_int_equal(SasHttpServer_CountBusy(f->server), 0);
+    assert_int_equal(SasHttpServer_CountBusyConnections(f->server), 0);
     write_text(f, "GET /1 HTTP/1.1\r\n\r\n");
-    assert_int_equal(SasHttpServer_CountBusy(f->server), 1);
+    assert_int_equal(SasHttpServer_CountBusyConnections(f->server), 1);
     run_loop(f);
     reply(f, 0, "first");
-    assert_int_equal(SasHttpServer_CountBusy(f->server), 0);
+    assert_int_equal(SasHttpServer_CountBusyConnections(f->server), 0);
     stop(f);
 }
 
@@ -324,7 +324,7 @@
     for (int i = 0; i < 250 && f->closed == 0; i++) {
         run_loop(f);
     }
-    assert_int_equal(f->leftover.end, SAS_HTTP_END_ANSWER);
+    assert_int_equal(f->close_stats.end, SAS_HTTP_CLOSE_ANSWER);
     stop(f);
 }
 
@@ -342,7 +342,7 @@
         run_loop(f);
     }
     assert_int_equal(f->closed, 1);
-    assert_int_equal(f->leftover.end, SAS_HTTP_END_ANSWER);
+    assert_int_equal(f->close_stats.end, SAS_HTTP_CLOSE_ANSWER);
     stop(f);
 }
 
@@ -374,9 +374,9 @@
     write_text(f, "GET /3");
     SasHttpServer_Close(f->server);
     assert_int_equal(f->closed, 1);
-    assert_int_equal(f->leftover.end, SAS_HTTP_END_SERVER);
-    assert_int_equal(f->leftover.unanswered, 2);
-    assert_int_equal(f->leftover.unread_bytes, strlen("GET /3"));
+    assert_int_equal(f->close_stats.end, SAS_HTTP_CLOSE_SERVER);
+    assert_int_equal(f->close_stats.unanswered, 2);
+    assert_int_equal(f->close_stats.unread_bytes, strlen("GET /3"));
     stop(f);
 }
 
@@ -388,8 +388,8 @@
     write_and_run(f, "GET /1 HTTP/1.1\r\n\r\n");
     uv_close((uv_handle_t *)&f->client, NULL);
     run_loop(f);
-    assert_int_equal(f->leftover.end, SAS_HTTP_END_CALLER);
-    assert_int_equal(f->leftover.unanswered, 1);
+    assert_int_equal(f->close_stats.end, SAS_HTTP_CLOSE_CALLER);
+    assert_int_equal(f->close_stats.unanswered, 1);
     stop(f);
 }
 
--- a/packages/node/src/caller.c
+++ b/packages/node/src/caller.c
@@ -243,7 +243,7 @@
     struct exchange *exchange = (struct exchange *)reply;
     h2o_req_t *req = exchange->req;
     req->res.status = answer->status;
-    req->res.reason = SasHttp_GetReason(answer->status);
+    req->res.reason = SasHttp_GetReasonPhrase(answer->status);
     for (int i = 0; i < answer->header_count; i++) {
         SasH2oServer_AddHeader(req, answer->headers[i].name,
                                answer->headers[i].value);
--- a/packages/node/src/h2o_server.c
+++ b/packages/node/src/h2o_server.c
@@ -536,7 +536,7 @@
                     const char *body, size_t size)
 {
     req->res.status = status;
-    req->res.reason = SasHttp_GetReason(status);
+    req->res.reason = SasHttp_GetReasonPhrase(status);
     SasH2oServer_AddHeader(req, "content-type", content_type);
     /* Without a length h2o ends answers with a status of 400 and more by
      * closing the connection, and a client can't tell them from truncated
--- a/packages/node/src/upstream.c
+++ b/packages/node/src/upstream.c
@@ -10,7 +10,7 @@
 #include "sas/metrics.h"
 
 struct backend_state {
-    struct sas_http_owner owner; /* first: on_closed */
+    struct sas_http_conn_listener owner; /* first: on_closed */
     struct sas_upstream *upstream;
     int backend;
     GQueue idle; /* of struct sas_http_conn, most recently used first */
@@ -34,7 +34,7 @@
 };
 
 struct probe {
-    struct sas_http_user user; /* first: the vtable */
+    struct sas_http_listener http_listener; /* first: the vtable */
     struct sas_upstream *upstream;
     struct sas_http_conn *conn;
     int backend;
@@ -42,9 +42,9 @@
     GString *body;
 };
 
-static const struct sas_http_user_vtable call_vtable;
-static const struct sas_http_user_vtable probe_vtable;
-static void on_conn_closed(struct sas_http_owner *owner,
+static const struct sas_http_listener_vtable call_vtable;
+static const struct sas_http_listener_vtable probe_vtable;
+static void on_conn_closed(struct sas_http_conn_listener *owner,
                            struct sas_http_conn *conn);
 static void on_sweep(uv_timer_t *timer);
 static void end_probe(struct probe *probe);
@@ -127,7 +127,7 @@
     if (!new_connection && now >= state->reuse_disabled_until) {
         conn = g_queue_pop_head(&state->idle);
     }
-    call->user.vtable = &call_vtable;
+    call->http_listener.vtable = &call_vtable;
     call->vtable = vtable;
     call->upstream = upstream;
     call->backend = backend;
@@ -139,7 +139,7 @@
     }
     call->conn = conn;
     state->calls = g_list_prepend(state->calls, call);
-    SasHttp_Send(conn, request, timeout_ms, &call->user);
+    SasHttp_Send(conn, request, timeout_ms, &call->http_listener);
 }
 
 static void
@@ -268,10 +268,10 @@
 }
 
 static void
-call_on_head(struct sas_http_user *user, int status,
+call_on_head(struct sas_http_listener *http_listener, int status,
              const struct sas_http_header *headers, int header_count)
 {
-    struct sas_upstream_call *call = (struct sas_upstream_call *)user;
+    struct sas_upstream_call *call = (struct sas_upstream_call *)http_listener;
     if (is_mismatched_answer(call, headers, header_count)) {
         fail_mismatched_answer(call);
         return;
@@ -284,16 +284,17 @@
 }
 
 static void
-call_on_body(struct sas_http_user *user, const char *data, size_t size)
+call_on_body(struct sas_http_listener *http_listener, const char *data,
+             size_t size)
 {
-    struct sas_upstream_call *call = (struct sas_upstream_call *)user;
+    struct sas_upstream_call *call = (struct sas_upstream_call *)http_listener;
     call->vtable->on_body(call, data, size);
 }
 
 static void
-call_on_end(struct sas_http_user *user, bool whole, bool reusable)
+call_on_end(struct sas_http_listener *http_listener, bool whole, bool reusable)
 {
-    struct sas_upstream_call *call = (struct sas_upstream_call *)user;
+    struct sas_upstream_call *call = (struct sas_upstream_call *)http_listener;
     struct sas_upstream *upstream = call->upstream;
     remove_call(call);
     if (reusable && may_keep(upstream, call->backend)) {
@@ -310,10 +311,10 @@
 }
 
 static void
-call_on_fail(struct sas_http_user *user,
+call_on_fail(struct sas_http_listener *http_listener,
              const struct sas_http_failure *failure)
 {
-    struct sas_upstream_call *call = (struct sas_upstream_call *)user;
+    struct sas_upstream_call *call = (struct sas_upstream_call *)http_listener;
     struct sas_upstream *upstream = call->upstream;
     remove_call(call);
     if (!failure->sent) {
@@ -323,7 +324,7 @@
     call->vtable->on_fail(call, failure);
 }
 
-static const struct sas_http_user_vtable call_vtable = {
+static const struct sas_http_listener_vtable call_vtable = {
     .on_head = call_on_head,
     .on_body = call_on_body,
     .on_end = call_on_end,
@@ -331,12 +332,13 @@
 };
 
 static void
-on_conn_closed(struct sas_http_owner *owner, struct sas_http_conn *conn)
+on_conn_closed(struct sas_http_conn_listener *owner,
+               struct sas_http_conn *conn)
 {
     struct backend_state *state = (struct backend_state *)owner;
     state->open_connections--;
     g_queue_remove(&state->idle, conn);
-    if (SasHttp_HadStrayBytes(conn) && !state->upstream->closing) {
+    if (SasHttp_HadUnexpectedBytes(conn) && !state->upstream->closing) {
         SasLog_Write(SasLog_WARN, "upstream.read",
                      state->upstream->model->backends[state->backend].name,
                      "bytes that belong to no request");
@@ -347,10 +349,10 @@
 /* Probes. */
 
 static void
-probe_on_head(struct sas_http_user *user, int status,
+probe_on_head(struct sas_http_listener *http_listener, int status,
               const struct sas_http_header *headers, int header_count)
 {
-    struct probe *probe = (struct probe *)user;
+    struct probe *probe = (struct probe *)http_listener;
     (void)status;
     (void)headers;
     (void)header_count;
@@ -358,9 +360,10 @@
 }
 
 static void
-probe_on_body(struct sas_http_user *user, const char *data, size_t size)
+probe_on_body(struct sas_http_listener *http_listener, const char *data,
+              size_t size)
 {
-    struct probe *probe = (struct probe *)user;
+    struct probe *probe = (struct probe *)http_listener;
     if (probe->body->len + size < 4096) {
         g_string_append_len(probe->body, data, (gssize)size);
     }
@@ -404,9 +407,10 @@
 }
 
 static void
-probe_on_end(struct sas_http_user *user, bool whole, bool reusable)
+probe_on_end(struct sas_http_listener *http_listener, bool whole,
+             bool reusable)
 {
-    struct probe *probe = (struct probe *)user;
+    struct probe *probe = (struct probe *)http_listener;
     struct sas_upstream *upstream = probe->upstream;
     if (reusable && may_keep(upstream, probe->backend)) {
         g_queue_push_head(&upstream->states[probe->backend].idle, probe->conn);
@@ -422,17 +426,17 @@
 }
 
 static void
-probe_on_fail(struct sas_http_user *user,
+probe_on_fail(struct sas_http_listener *http_listener,
               const struct sas_http_failure *failure)
 {
     (void)failure;
-    struct probe *probe = (struct probe *)user;
+    struct probe *probe = (struct probe *)http_listener;
     struct sas_upstream_listener *listener = probe->upstream->listener;
     listener->on_health(listener, probe->backend, false);
     end_probe(probe);
 }
 
-static const struct sas_http_user_vtable probe_vtable = {
+static const struct sas_http_listener_vtable probe_vtable = {
     .on_head = probe_on_head,
     .on_body = probe_on_body,
     .on_end = probe_on_end,
@@ -450,7 +454,7 @@
     }
     struct probe *probe = g_new0(struct probe, 1);
     state->probe = probe;
-    probe->user.vtable = &probe_vtable;
+    probe->http_listener.vtable = &probe_vtable;
     probe->upstream = upstream;
     probe->backend = backend;
     probe->opened_at = (int64_t)uv_now(upstream->loop);
@@ -458,7 +462,7 @@
     probe->conn = open_connection(upstream, backend);
     struct sas_http_request request = {.method = "GET", .target = "/v1/load"};
     SasHttp_Send(probe->conn, &request, SasUpstream_PROBE_TIMEOUT_MS,
-                 &probe->user);
+                 &probe->http_listener);
 }
 
 /* Stalled connections. */
--- a/packages/node/src/upstream.h
+++ b/packages/node/src/upstream.h
@@ -34,7 +34,7 @@
 
 /* Embedded in the owner's struct. */
 struct sas_upstream_call {
-    struct sas_http_user user;
+    struct sas_http_listener http_listener;
     const struct sas_upstream_vtable *vtable;
     struct sas_upstream *upstream;
     struct sas_http_conn *conn;
--- a/packages/store/src/http_store.c
+++ b/packages/store/src/http_store.c
@@ -19,8 +19,8 @@
 #define MAX_IDLE_FOR_WRITE_MS 1000
 
 struct http_store {
-    struct sas_store base;       /* first: the vtable */
-    struct sas_http_owner owner; /* callbacks of all connections */
+    struct sas_store base;               /* first: the vtable */
+    struct sas_http_conn_listener owner; /* callbacks of all connections */
     uv_loop_t *loop;
     struct sas_address address;
     GQueue idle; /* of struct sas_http_conn, the last used first */
@@ -33,7 +33,7 @@
 };
 
 struct operation {
-    struct sas_http_user user; /* first: the vtable */
+    struct sas_http_listener listener; /* first: the vtable */
     struct http_store *store;
     struct sas_store_call *call;
     struct sas_http_conn *conn;
@@ -80,10 +80,10 @@
 }
 
 static void
-on_head(struct sas_http_user *user, int status,
+on_head(struct sas_http_listener *listener, int status,
         const struct sas_http_header *headers, int header_count)
 {
-    struct operation *operation = (struct operation *)user;
+    struct operation *operation = (struct operation *)listener;
     operation->http_status = status;
     const char *etag = SasHttp_FindHeader(headers, header_count, "etag");
     snprintf(operation->etag, sizeof(operation->etag), "%s",
@@ -91,18 +91,18 @@
 }
 
 static void
-on_body(struct sas_http_user *user, const char *data, size_t size)
+on_body(struct sas_http_listener *listener, const char *data, size_t size)
 {
-    struct operation *operation = (struct operation *)user;
+    struct operation *operation = (struct operation *)listener;
     if (operation->body->len + size <= MAX_VALUE_BYTES) {
         g_string_append_len(operation->body, data, (gssize)size);
     }
 }
 
 static void
-on_end(struct sas_http_user *user, bool whole, bool reusable)
+on_end(struct sas_http_listener *listener, bool whole, bool reusable)
 {
-    struct operation *operation = (struct operation *)user;
+    struct operation *operation = (struct operation *)listener;
     struct http_store *store = operation->store;
     store->in_flight = g_list_remove(store->in_flight, operation);
     if (reusable) {
@@ -128,9 +128,10 @@
 }
 
 static void
-on_fail(struct sas_http_user *user, const struct sas_http_failure *failure)
+on_fail(struct sas_http_listener *listener,
+        const struct sas_http_failure *failure)
 {
-    struct operation *operation = (struct operation *)user;
+    struct operation *operation = (struct operation *)listener;
     struct http_store *store = operation->store;
     store->in_flight = g_list_remove(store->in_flight, operation);
     /* The server or a middlebox may have dropped a pooled connection while it
@@ -153,7 +154,7 @@
     start_next(store);
 }
 
-static const struct sas_http_user_vtable operation_vtable = {
+static const struct sas_http_listener_vtable operation_vtable = {
     .on_head = on_head,
     .on_body = on_body,
     .on_end = on_end,
@@ -161,7 +162,8 @@
 };
 
 static void
-on_conn_closed(struct sas_http_owner *owner, struct sas_http_conn *conn)
+on_conn_closed(struct sas_http_conn_listener *owner,
+               struct sas_http_conn *conn)
 {
     struct http_store *store =
         (struct http_store *)((char *)owner -
@@ -198,7 +200,7 @@
         .body = operation->value,
         .body_size = operation->size,
     };
-    SasHttp_Send(conn, &request, SasStore_TIMEOUT_MS, &operation->user);
+    SasHttp_Send(conn, &request, SasStore_TIMEOUT_MS, &operation->listener);
 }
 
 /* Starts queued operations while the pool has connections. Those that timed
@@ -244,7 +246,7 @@
 {
     struct http_store *store = (struct http_store *)base;
     struct operation *operation = g_new0(struct operation, 1);
-    operation->user.vtable = &operation_vtable;
+    operation->listener.vtable = &operation_vtable;
     operation->store = store;
     operation->call = call;
     operation->target = g_strdup_printf("/%s%s", space, key);
