--- a/packages/gateway/src/mesh_gossip.c
+++ b/packages/gateway/src/mesh_gossip.c
@@ -8,7 +8,7 @@
 
 #include "sas/http.h"
 #include "sas/log.h"
-#include "sas/wall.h"
+#include "sas/wall_clock.h"
 
 #define MAX_DATAGRAM 1400 /* bytes */
 
@@ -363,8 +363,8 @@
 sign(const struct sas_mesh *mesh, char *bytes, unsigned size)
 {
     if (mesh->key == NULL ||
-        !SasProto_Sign(mesh->key, &no_session, (const uint8_t *)bytes, size,
-                       (uint8_t *)bytes + size)) {
+        !SasProto_ComputeMac(mesh->key, &no_session, (const uint8_t *)bytes,
+                             size, (uint8_t *)bytes + size)) {
         return size;
     }
     return size + SasProto_MAC_SIZE;
@@ -382,8 +382,8 @@
         return 0;
     }
     size -= (unsigned)sizeof(mac);
-    bool authentic = SasProto_Sign(mesh->key, &no_session,
-                                   (const uint8_t *)bytes, size, mac) &&
+    bool authentic = SasProto_ComputeMac(mesh->key, &no_session,
+                                         (const uint8_t *)bytes, size, mac) &&
                      CRYPTO_memcmp(mac, bytes + size, sizeof(mac)) == 0;
     return authentic ? size : 0;
 }
@@ -393,7 +393,7 @@
 static bool
 is_fresh(const struct sas_mesh *mesh, const sas_mesh_message *message)
 {
-    int64_t age_ms = SasWall_GetMs() - (int64_t)message->sent_ms;
+    int64_t age_ms = SasWallClock_GetMs() - (int64_t)message->sent_ms;
     return mesh->key == NULL || ABS(age_ms) <= MAX_SKEW_MS;
 }
 
@@ -426,7 +426,7 @@
     message->sender.table_versions.table_versions_len = count_changes(mesh);
     message->sender.table_versions.table_versions_val =
         (u_quad_t *)mesh->changes;
-    message->sent_ms = (u_quad_t)SasWall_GetMs();
+    message->sent_ms = (u_quad_t)SasWallClock_GetMs();
     trailer->records_digest = mesh->records_digest;
     char bytes[MAX_DATAGRAM];
     XDR xdr;
--- a/packages/gateway/src/poison_requests.c
+++ b/packages/gateway/src/poison_requests.c
@@ -138,9 +138,9 @@
 note_event(struct sas_poison_requests *poison, const char *event,
            const char *server_id, const struct sas_mesh_poison_update *update)
 {
-    int counter =
-        SasMetrics_Register(poison->metrics, "sas_suspects_total", "event",
-                            event, "Requests suspected of crashing servers");
+    int counter = SasMetrics_RegisterCounter(
+        poison->metrics, "sas_suspects_total", "event", event,
+        "Requests suspected of crashing servers");
     SasMetrics_Add(poison->metrics, counter, 1);
     char name[40];
     snprintf(name, sizeof(name), "%016" G_GINT64_MODIFIER "x",
--- a/packages/gateway/src/relay.c
+++ b/packages/gateway/src/relay.c
@@ -148,7 +148,7 @@
         call->exchange, relay->options.wire->object_key);
     object = object != NULL ? object : "";
     SasLog_WriteFields(
-        SasLog_INFO, SasLog_REQUEST, call->server_id,
+        SasLog_INFO, SasLog_REQUEST_STEP, call->server_id,
         "{s:s, s:s, s:i, s:s, s:s, s:s, s:s, s:i, s:i, s:i, s:f, s:I, s:b, "
         "s:i, s:i, s:I, s:I, s:b}",
         "request", call->request_id, "outcome", outcome, "status", status,
@@ -173,9 +173,9 @@
 {
     const struct sas_relay *relay = call->relay;
     struct sas_metrics *metrics = relay->options.metrics;
-    int counter =
-        SasMetrics_Register(metrics, "sas_requests_total", "outcome", outcome,
-                            "Requests of callers by how they ended");
+    int counter = SasMetrics_RegisterCounter(
+        metrics, "sas_requests_total", "outcome", outcome,
+        "Requests of callers by how they ended");
     SasMetrics_Add(metrics, counter, 1);
     if (call->route == NULL) {
         return;
@@ -371,7 +371,7 @@
 register_ends(struct sas_relay *relay)
 {
     for (int end = 0; end < SAS_HTTP_CLOSE_COUNT; end++) {
-        relay->end_counters[end] = SasMetrics_Register(
+        relay->end_counters[end] = SasMetrics_RegisterCounter(
             relay->options.metrics, "sas_connections_ended_total", "by",
             SasHttp_GetCloseReasonName((enum sas_http_close_reason)end),
             "Connections of callers by what ended them");
--- a/packages/gateway/src/relay_peers.c
+++ b/packages/gateway/src/relay_peers.c
@@ -66,9 +66,9 @@
     const struct sas_server_traffic *traffic = &server->traffic;
     bool ejected = change == SAS_TRAFFIC_EJECTED;
     struct sas_metrics *metrics = relay->options.metrics;
-    int counter = SasMetrics_Register(metrics, "sas_servers_tripped_total",
-                                      "cause", ejected ? cause : "well again",
-                                      "Backend servers given up, by cause");
+    int counter = SasMetrics_RegisterCounter(
+        metrics, "sas_servers_tripped_total", "cause",
+        ejected ? cause : "well again", "Backend servers given up, by cause");
     SasMetrics_Add(metrics, counter, 1);
     struct sas_mesh_ejection ejection = {
         .server_hash = server->hash,
--- a/packages/node/src/admin.c
+++ b/packages/node/src/admin.c
@@ -48,9 +48,9 @@
         "/v1/status", "/v1/health",  "/metrics"};
     struct sas_admin *admin = g_new0(struct sas_admin, 1);
     admin->options = *options;
-    admin->unauthorized =
-        SasMetrics_Register(options->metrics, "sas_admin_unauthorized_total",
-                            NULL, NULL, "Admin calls without the right token");
+    admin->unauthorized = SasMetrics_RegisterCounter(
+        options->metrics, "sas_admin_unauthorized_total", NULL, NULL,
+        "Admin calls without the right token");
     struct sas_h2o_server_limits limits = {
         .body_limit = SasSheet_MAX_BYTES,
         .bodies_limit = 4 * (size_t)SasSheet_MAX_BYTES,
--- a/packages/node/src/claims.c
+++ b/packages/node/src/claims.c
@@ -283,8 +283,8 @@
     g_autofree char *text = SasClaim_EncodeRow(&claim->core.row);
     SasStore_Write(claim->claims->store, SAS_STORE_TABLE, claim->core.row_key,
                    text, strlen(text),
-                   etag[0] == '\0' ? SAS_STORE_ABSENT : SAS_STORE_MATCH, etag,
-                   &claim->call);
+                   etag[0] == '\0' ? SAS_STORE_IF_ABSENT : SAS_STORE_IF_MATCH,
+                   etag, &claim->call);
 }
 
 static void
@@ -312,7 +312,7 @@
     case SAS_CLAIM_WRITE_OBJECT:
         SasStore_Write(store, SAS_STORE_OBJECT, row->object,
                        (const char *)row->body, row->body_size,
-                       SAS_STORE_ABSENT, NULL, &claim->call);
+                       SAS_STORE_IF_ABSENT, NULL, &claim->call);
         return;
     case SAS_CLAIM_FINISH:
         if (claim->reading_object) {
--- a/packages/node/src/config_store.c
+++ b/packages/node/src/config_store.c
@@ -528,7 +528,7 @@
         put->config->operation, XXH3_64bits(text, strlen(text)));
     put->step = PUT_WRITE_OBJECT;
     SasStore_Write(options->store, SAS_STORE_OBJECT, put->object_key, text,
-                   strlen(text), SAS_STORE_ABSENT, NULL, &put->call);
+                   strlen(text), SAS_STORE_IF_ABSENT, NULL, &put->call);
     free(text);
 }
 
@@ -539,7 +539,8 @@
     put->step = PUT_WRITE_HEAD;
     SasStore_Write(put->config_store->options.store, SAS_STORE_TABLE, HEAD_KEY,
                    text, strlen(text),
-                   put->etag[0] == '\0' ? SAS_STORE_ABSENT : SAS_STORE_MATCH,
+                   put->etag[0] == '\0' ? SAS_STORE_IF_ABSENT
+                                        : SAS_STORE_IF_MATCH,
                    put->etag, &put->call);
 }
 
--- a/packages/node/src/h2o_server.c
+++ b/packages/node/src/h2o_server.c
@@ -134,10 +134,10 @@
                               struct sas_metrics *metrics, const char *port)
 {
     server->metrics = metrics;
-    server->http_errors =
-        SasMetrics_Register(metrics, "sas_http_errors_total", "port", port,
-                            "Answers to what is no request or too large");
-    server->refused_connections = SasMetrics_Register(
+    server->http_errors = SasMetrics_RegisterCounter(
+        metrics, "sas_http_errors_total", "port", port,
+        "Answers to what is no request or too large");
+    server->refused_connections = SasMetrics_RegisterCounter(
         metrics, "sas_connections_refused_total", "port", port,
         "Connections closed because there were too many");
 }
--- a/packages/node/src/node.c
+++ b/packages/node/src/node.c
@@ -16,7 +16,7 @@
 #include "sas/metrics.h"
 #include "sas/secret.h"
 #include "sas/store.h"
-#include "sas/wall.h"
+#include "sas/wall_clock.h"
 #include "signals.h"
 #include "router.h"
 #include "upstream.h"
@@ -295,7 +295,7 @@
         .own_vm = node->own_vm,
         .server_queue = settings->server_queue,
         .random = node->random,
-        .incarnation = (uint32_t)SasWall_GetMs(),
+        .incarnation = (uint32_t)SasWallClock_GetMs(),
     };
     node->lending = SasLending_Open(&lending, error);
     if (node->lending == NULL) {
@@ -308,7 +308,7 @@
         .settings = settings,
         .own_vm = node->own_vm,
         .random = node->random,
-        .get_wall_ms = SasWall_GetMs,
+        .get_wall_ms = SasWallClock_GetMs,
         .lending = node->lending,
     };
     node->router = SasRouter_Open(&router, error);
@@ -329,7 +329,7 @@
                             &node->poison_guard_listener);
     snprintf(node->identity, sizeof(node->identity),
              "%s-%" G_GINT64_MODIFIER "x-%d",
-             settings->model.vms[node->own_vm].name, SasWall_GetMs(),
+             settings->model.vms[node->own_vm].name, SasWallClock_GetMs(),
              (int)getpid());
     node->claims = SasClaims_Open(&node->loop, node->store, &node->counters,
                                   node->identity);
@@ -356,7 +356,7 @@
         .listener = &node->config_store_listener,
         .random = node->random,
         .utc_offset_s = settings->utc_offset_s,
-        .get_wall_ms = SasWall_GetMs,
+        .get_wall_ms = SasWallClock_GetMs,
     };
     node->config_store = SasConfigStore_Open(&config_store);
     return 0;
@@ -371,7 +371,7 @@
         .loop = &node->loop,
         .settings = settings,
         .own_vm = node->own_vm,
-        .incarnation = (uint64_t)SasWall_GetMs(),
+        .incarnation = (uint64_t)SasWallClock_GetMs(),
         .random = node->random,
         .router = node->router,
         .config_store = node->config_store,
@@ -415,7 +415,7 @@
         .config_store = node->config_store,
         .view = &node->view,
         .token = node->admin_token,
-        .get_wall_ms = SasWall_GetMs,
+        .get_wall_ms = SasWallClock_GetMs,
     };
     node->admin = SasAdmin_Open(&admin, &vm->admin, error);
     return node->admin != NULL ? 0 : -1;
--- a/packages/node/src/peer_sync.c
+++ b/packages/node/src/peer_sync.c
@@ -97,7 +97,7 @@
         return NULL;
     }
     for (int i = 0; i < SAS_PEER_COUNTER_COUNT; i++) {
-        sync->counters[i] = SasMetrics_Register(
+        sync->counters[i] = SasMetrics_RegisterCounter(
             options->counters->metrics, "sas_peer_events_total", "event",
             SasPeer_GetCounterName((enum sas_peer_counter)i),
             "Events of the connections between entry VMs");
--- a/packages/node/src/platform_mode.c
+++ b/packages/node/src/platform_mode.c
@@ -10,7 +10,7 @@
 #include "sas/platform.h"
 #include "sas/proto.h"
 #include "sas/secret.h"
-#include "sas/wall.h"
+#include "sas/wall_clock.h"
 #include "signals.h"
 
 enum {
@@ -104,9 +104,9 @@
     }
     const char *offset = g_getenv(CLOCK_VARIABLE);
     if (offset != NULL) {
-        SasWall_SetOffset(g_ascii_strtoll(offset, NULL, 10));
+        SasWallClock_SetOffset(g_ascii_strtoll(offset, NULL, 10));
     }
-    mode->settings.started_at = SasWall_GetMs();
+    mode->settings.started_at = SasWallClock_GetMs();
     return read_peer_key(mode, error) != 0 ? -1 : read_token(mode, error);
 }
 
@@ -237,7 +237,7 @@
         fprintf(stderr, "sassafrassilld: %s\n", error.text);
         return EXIT_USAGE;
     }
-    SasLog_SetRate(LOG_LINES_PER_S);
+    SasLog_SetRateLimit(LOG_LINES_PER_S);
     int status = run(&mode);
     SasLog_Close();
     return status;
--- a/packages/node/src/poison_guard.c
+++ b/packages/node/src/poison_guard.c
@@ -39,10 +39,10 @@
     guard->listener = listener;
     guard->metrics = counters->metrics;
     guard->backends = g_new0(struct backend_row, model->backend_count);
-    guard->suspected_counter = SasMetrics_Register(
+    guard->suspected_counter = SasMetrics_RegisterCounter(
         guard->metrics, "sas_suspected_total", NULL, NULL,
         "Requests whose connection was lost while they ran");
-    guard->dismissed_counter = SasMetrics_Register(
+    guard->dismissed_counter = SasMetrics_RegisterCounter(
         guard->metrics, "sas_suspicions_voided_total", NULL, NULL,
         "Lost connections whose backend server had not crashed");
     SasQuarantine_Init(&guard->core);
--- a/packages/node/src/refusal.c
+++ b/packages/node/src/refusal.c
@@ -64,7 +64,7 @@
 static int
 register_plain(struct sas_metrics *metrics, const char *name, const char *help)
 {
-    return SasMetrics_Register(metrics, name, NULL, NULL, help);
+    return SasMetrics_RegisterCounter(metrics, name, NULL, NULL, help);
 }
 
 void
@@ -74,8 +74,8 @@
     counters->metrics = metrics;
     for (int i = 0; i < SAS_REFUSE_COUNT; i++) {
         counters->refusals[i] =
-            SasMetrics_Register(metrics, "sas_refusals_total", "reason",
-                                reasons[i].name, "Refused requests");
+            SasMetrics_RegisterCounter(metrics, "sas_refusals_total", "reason",
+                                       reasons[i].name, "Refused requests");
     }
     counters->requests = register_plain(metrics, "sas_requests_total",
                                         "Requests for backend servers");
@@ -84,13 +84,13 @@
     counters->lookups =
         register_plain(metrics, "sas_lookups_total", "Look-ups answered");
     for (int i = 0; i < SAS_RETRY_REASONS; i++) {
-        counters->retries[i] = SasMetrics_Register(
+        counters->retries[i] = SasMetrics_RegisterCounter(
             metrics, "sas_retries_total", "reason",
             SasRetry_GetReasonName((enum sas_retry_reason)i),
             "Requests tried again, by reason");
     }
     for (int i = SAS_RETRY_YES + 1; i < SAS_RETRY_DECISIONS; i++) {
-        counters->retries_denied[i] = SasMetrics_Register(
+        counters->retries_denied[i] = SasMetrics_RegisterCounter(
             metrics, "sas_retries_denied_total", "reason",
             SasRetry_GetDecisionName((enum sas_retry_decision)i),
             "Failed tries that were not repeated, by reason");
--- a/packages/node/src/sheet_task.c
+++ b/packages/node/src/sheet_task.c
@@ -8,7 +8,7 @@
 #include "mesh.h"
 #include "sas/log.h"
 #include "sas/fleet_model.h"
-#include "sas/wall.h"
+#include "sas/wall_clock.h"
 
 #define TICK_MS 1000
 
@@ -91,8 +91,8 @@
     struct sas_mesh *mesh = SasGateway_GetMesh(options->gateway);
     bool down[SasModel_MAX_REGIONS];
     SasMesh_FindDownRegions(mesh, down);
-    if (SasSteering_Advance(options->steering, SasWall_GetMs(), get_now(task),
-                            down)) {
+    if (SasSteering_Advance(options->steering, SasWallClock_GetMs(),
+                            get_now(task), down)) {
         const struct sas_plan *plan = SasSteering_GetPlan(options->steering);
         for (int i = 0; i < plan->shift_count; i++) {
             const struct sas_shift *shift = &plan->shifts[i];
@@ -222,7 +222,7 @@
         .view = &task->view,
         .token = options->token,
         .read_only = options->token == NULL,
-        .get_wall_ms = SasWall_GetMs,
+        .get_wall_ms = SasWallClock_GetMs,
     };
     task->admin = SasAdmin_Open(&admin, &options->settings->admin, error);
     return task->admin != NULL ? 0 : -1;
@@ -243,7 +243,7 @@
         .store = options->store,
         .listener = &task->listener,
         .random = task->random,
-        .get_wall_ms = SasWall_GetMs,
+        .get_wall_ms = SasWallClock_GetMs,
         .poll_on_demand = true,
         .max_object = options->max_object,
     };
--- a/packages/observe/include/sas/log.h
+++ b/packages/observe/include/sas/log.h
@@ -21,7 +21,7 @@
 
 /* The step of the line that ends a request. At the rate limit, lines with
  * this step at INFO and DEBUG are dropped before all others. */
-#define SasLog_REQUEST "request"
+#define SasLog_REQUEST_STEP "request"
 
 enum sas_log_level {
     SasLog_ERROR, /* needs an operator's attention */
@@ -43,9 +43,9 @@
 const char *SasLog_GetLevelName(enum sas_log_level level);
 
 /* Limits the lines per second, 0 for no limit; a quarter of them is reserved
- * for lines other than SasLog_REQUEST at INFO and DEBUG. Ignored while the
- * log is closed; SasLog_Open removes the limit. */
-void SasLog_SetRate(double lines_per_s);
+ * for lines other than SasLog_REQUEST_STEP at INFO and DEBUG. Ignored while
+ * the log is closed; SasLog_Open removes the limit. */
+void SasLog_SetRateLimit(double lines_per_s);
 
 /* Whether the log is open and writes lines of this level. */
 bool SasLog_IsEnabled(enum sas_log_level level);
--- a/packages/observe/include/sas/metrics.h
+++ b/packages/observe/include/sas/metrics.h
@@ -35,9 +35,9 @@
  * name and value return the same handle again. Returns SasModel_NONE if the
  * name or label is invalid, the name belongs to a family with another kind or
  * label, or the table is full. */
-int SasMetrics_Register(struct sas_metrics *metrics, const char *name,
-                        const char *label, const char *value,
-                        const char *help);
+int SasMetrics_RegisterCounter(struct sas_metrics *metrics, const char *name,
+                               const char *label, const char *value,
+                               const char *help);
 int SasMetrics_RegisterGauge(struct sas_metrics *metrics, const char *name,
                              const char *label, const char *value,
                              const char *help);
@@ -46,10 +46,11 @@
 void SasMetrics_Add(struct sas_metrics *metrics, int handle, uint64_t n);
 
 /* Sets a gauge. */
-void SasMetrics_Set(struct sas_metrics *metrics, int handle, double number);
+void SasMetrics_SetGauge(struct sas_metrics *metrics, int handle,
+                         double number);
 
 /* Registers a histogram of durations with the buckets SasMetrics_BUCKETS_MS;
- * otherwise as SasMetrics_Register. */
+ * otherwise as SasMetrics_RegisterCounter. */
 int SasMetrics_RegisterHistogram(struct sas_metrics *metrics, const char *name,
                                  const char *label, const char *value,
                                  const char *help);
--- a/packages/observe/src/log.c
+++ b/packages/observe/src/log.c
@@ -133,7 +133,7 @@
 }
 
 void
-SasLog_SetRate(double lines_per_s)
+SasLog_SetRateLimit(double lines_per_s)
 {
     if (log_category != NULL) {
         SasLogOutput_SetRate(&log_output, lines_per_s, g_get_monotonic_time());
@@ -178,7 +178,7 @@
 admit(enum sas_log_level level, const char *step)
 {
     bool high_priority =
-        level <= SasLog_WARN || strcmp(step, SasLog_REQUEST) != 0;
+        level <= SasLog_WARN || strcmp(step, SasLog_REQUEST_STEP) != 0;
     if (!SasLog_IsEnabled(level) ||
         !SasLogOutput_Admit(&log_output, high_priority,
                             g_get_monotonic_time())) {
--- a/packages/observe/src/metrics.c
+++ b/packages/observe/src/metrics.c
@@ -75,8 +75,9 @@
 }
 
 int
-SasMetrics_Register(struct sas_metrics *metrics, const char *name,
-                    const char *label, const char *value, const char *help)
+SasMetrics_RegisterCounter(struct sas_metrics *metrics, const char *name,
+                           const char *label, const char *value,
+                           const char *help)
 {
     return register_metric(metrics, COUNTER, name, label, value, help);
 }
@@ -127,7 +128,7 @@
 }
 
 void
-SasMetrics_Set(struct sas_metrics *metrics, int handle, double number)
+SasMetrics_SetGauge(struct sas_metrics *metrics, int handle, double number)
 {
     struct metric *metric = get_metric(metrics, handle, GAUGE);
     if (metric != NULL) {
--- a/packages/observe/tests/test_metrics.c
+++ b/packages/observe/tests/test_metrics.c
@@ -26,12 +26,15 @@
 test_same_name_and_value_return_the_same_handle(void **state)
 {
     struct sas_metrics *metrics = *state;
-    int a = SasMetrics_Register(metrics, "x_total", "reason", "a", "help");
-    int b = SasMetrics_Register(metrics, "x_total", "reason", "b", "help");
+    int a =
+        SasMetrics_RegisterCounter(metrics, "x_total", "reason", "a", "help");
+    int b =
+        SasMetrics_RegisterCounter(metrics, "x_total", "reason", "b", "help");
     assert_int_not_equal(a, b);
     SasMetrics_Add(metrics, a, 3);
     assert_int_equal(
-        SasMetrics_Register(metrics, "x_total", "reason", "a", "help"), a);
+        SasMetrics_RegisterCounter(metrics, "x_total", "reason", "a", "help"),
+        a);
     assert_true(SasMetrics_Get(metrics, a) == 3);
     assert_true(SasMetrics_Get(metrics, b) == 0);
 }
@@ -40,26 +43,28 @@
 test_invalid_and_conflicting_names_are_refused(void **state)
 {
     struct sas_metrics *metrics = *state;
-    int counter = SasMetrics_Register(metrics, "x_total", NULL, NULL, "h");
+    int counter =
+        SasMetrics_RegisterCounter(metrics, "x_total", NULL, NULL, "h");
     assert_int_not_equal(counter, SasModel_NONE);
     const char *names[] = {"", "1x", "a b", "a-b", "a\n"};
     for (size_t i = 0; i < G_N_ELEMENTS(names); i++) {
         assert_int_equal(
-            SasMetrics_Register(metrics, names[i], NULL, NULL, "h"),
+            SasMetrics_RegisterCounter(metrics, names[i], NULL, NULL, "h"),
             SasModel_NONE);
     }
-    assert_int_equal(SasMetrics_Register(metrics, "y", "a:b", "v", "h"),
+    assert_int_equal(SasMetrics_RegisterCounter(metrics, "y", "a:b", "v", "h"),
                      SasModel_NONE);
-    assert_int_equal(SasMetrics_Register(metrics, "y", "a", NULL, "h"),
-                     SasModel_NONE);
-    assert_int_equal(SasMetrics_Register(metrics, "x_total", "a", "v", "h"),
+    assert_int_equal(SasMetrics_RegisterCounter(metrics, "y", "a", NULL, "h"),
                      SasModel_NONE);
+    assert_int_equal(
+        SasMetrics_RegisterCounter(metrics, "x_total", "a", "v", "h"),
+        SasModel_NONE);
     assert_int_equal(
         SasMetrics_RegisterGauge(metrics, "x_total", NULL, NULL, "h"),
         SasModel_NONE);
     SasMetrics_Add(metrics, SasModel_NONE, 1);
-    SasMetrics_Set(metrics, SasModel_NONE, 1);
-    SasMetrics_Set(metrics, counter, 1); /* not a gauge */
+    SasMetrics_SetGauge(metrics, SasModel_NONE, 1);
+    SasMetrics_SetGauge(metrics, counter, 1); /* not a gauge */
     assert_true(SasMetrics_Get(metrics, counter) == 0);
 }
 
@@ -67,12 +72,13 @@
 test_format_sorts_and_escapes(void **state)
 {
     struct sas_metrics *metrics = *state;
-    SasMetrics_Register(metrics, "z_total", "reason", "b", "last");
-    int a = SasMetrics_Register(metrics, "z_total", "reason", "a\"\\\n", "x");
+    SasMetrics_RegisterCounter(metrics, "z_total", "reason", "b", "last");
+    int a = SasMetrics_RegisterCounter(metrics, "z_total", "reason", "a\"\\\n",
+                                       "x");
     int gauge = SasMetrics_RegisterGauge(metrics, "level", NULL, NULL,
                                          "line\nand \\ \"");
     SasMetrics_Add(metrics, a, 18446744073709551615ULL);
-    SasMetrics_Set(metrics, gauge, 0.25);
+    SasMetrics_SetGauge(metrics, gauge, 0.25);
     g_autofree char *text = SasMetrics_Format(metrics);
     assert_string_equal(text, "# HELP level line\\nand \\\\ \"\n"
                               "# TYPE level gauge\n"
@@ -92,12 +98,14 @@
     for (int i = 0; i < SasMetrics_MAX_METRICS; i++) {
         snprintf(value, sizeof(value), "%d", i);
         assert_int_equal(
-            SasMetrics_Register(metrics, "x_total", "v", value, "h"), i);
+            SasMetrics_RegisterCounter(metrics, "x_total", "v", value, "h"),
+            i);
     }
-    assert_int_equal(SasMetrics_Register(metrics, "x_total", "v", "n", "h"),
-                     SasModel_NONE);
-    assert_int_equal(SasMetrics_Register(metrics, "x_total", "v", "7", "h"),
-                     7);
+    assert_int_equal(
+        SasMetrics_RegisterCounter(metrics, "x_total", "v", "n", "h"),
+        SasModel_NONE);
+    assert_int_equal(
+        SasMetrics_RegisterCounter(metrics, "x_total", "v", "7", "h"), 7);
 }
 
 static void
@@ -110,8 +118,8 @@
     assert_int_equal(SasMetrics_RegisterHistogram(metrics, "sas_wait_ms",
                                                   "service", "desk", "Waits"),
                      metric);
-    assert_int_equal(SasMetrics_Register(metrics, "sas_wait_ms", "service",
-                                         "desk", "Waits"),
+    assert_int_equal(SasMetrics_RegisterCounter(metrics, "sas_wait_ms",
+                                                "service", "desk", "Waits"),
                      SasModel_NONE);
     SasMetrics_Observe(metrics, metric, 3);
     SasMetrics_Observe(metrics, metric, 180.5);
--- a/packages/peer/src/call.c
+++ b/packages/peer/src/call.c
@@ -298,7 +298,7 @@
      const char *text)
 {
     struct sas_error error;
-    SasError_Set(&error, code, SasProto_GetName(call->procedure),
+    SasError_Set(&error, code, SasProto_GetProcedureName(call->procedure),
                  peer->model->vms[call->member_id].name, "%s", text);
     finish(peer, call, &error, NULL);
 }
--- a/packages/peer/src/connection.c
+++ b/packages/peer/src/connection.c
@@ -304,9 +304,9 @@
 {
     struct sas_proto_message message;
     struct sas_error error;
-    if (SasProto_Open(connection->peer->key, &connection->session,
-                      connection->reader.bytes, connection->reader.size,
-                      &message, &error) < 0) {
+    if (SasProto_Authenticate(connection->peer->key, &connection->session,
+                              connection->reader.bytes,
+                              connection->reader.size, &message, &error) < 0) {
         SasConnection_Close(connection, error.code == SAS_EAUTH
                                             ? SAS_PEER_BAD_DIGEST
                                             : SAS_PEER_BAD_MESSAGE);
--- a/packages/peer/tests/test_peer.c
+++ b/packages/peer/tests/test_peer.c
@@ -535,9 +535,9 @@
             return false;
         }
         else if (SasRecord_Feed(&script->reader, &byte, 1, &used) == 1) {
-            return SasProto_Open(script->key, &script->session,
-                                 script->reader.bytes, script->reader.size,
-                                 message, NULL) == 0;
+            return SasProto_Authenticate(
+                       script->key, &script->session, script->reader.bytes,
+                       script->reader.size, message, NULL) == 0;
         }
     }
     fail_msg("no record arrived");
--- a/packages/proto/fuzz/fuzz_proto.c
+++ b/packages/proto/fuzz/fuzz_proto.c
@@ -54,9 +54,9 @@
     struct sas_proto_message message;
     g_autofree uint8_t *record = g_malloc(size + SasProto_MAC_SIZE);
     memcpy(record, data, size);
-    SasProto_Sign(get_key(), &session, record, size, record + size);
-    if (SasProto_Open(get_key(), &session, record, size + SasProto_MAC_SIZE,
-                      &message, NULL) < 0) {
+    SasProto_ComputeMac(get_key(), &session, record, size, record + size);
+    if (SasProto_Authenticate(get_key(), &session, record,
+                              size + SasProto_MAC_SIZE, &message, NULL) < 0) {
         return;
     }
     if (message.is_reply) {
--- a/packages/proto/include/sas/proto.h
+++ b/packages/proto/include/sas/proto.h
@@ -64,7 +64,8 @@
     enum accept_stat status; /* of a reply; a body only with SUCCESS */
     struct sas_rpc_identity identity;
     union sas_proto_body body;
-    const uint8_t *encoded_body; /* set by Open: points into the record */
+    /* Set by Authenticate: points into the record. */
+    const uint8_t *encoded_body;
     size_t encoded_size;
 };
 
@@ -96,17 +97,18 @@
 /* Checks the HMAC of a record (without mark) and decodes the header into
  * *message. SAS_EAUTH: wrong key, session or content; SAS_EINVAL: not a
  * message of this protocol. The body stays encoded, inside the record. */
-int SasProto_Open(struct sas_proto_key *key,
-                  const struct sas_proto_session *session,
-                  const uint8_t *record, size_t size,
-                  struct sas_proto_message *message, struct sas_error *error);
+int SasProto_Authenticate(struct sas_proto_key *key,
+                          const struct sas_proto_session *session,
+                          const uint8_t *record, size_t size,
+                          struct sas_proto_message *message,
+                          struct sas_error *error);
 
 /* Computes the HMAC over the session and the bytes of a message without its
  * record mark; false if OpenSSL fails. */
-bool SasProto_Sign(struct sas_proto_key *key,
-                   const struct sas_proto_session *session,
-                   const uint8_t *bytes, size_t size,
-                   uint8_t mac[SasProto_MAC_SIZE]);
+bool SasProto_ComputeMac(struct sas_proto_key *key,
+                         const struct sas_proto_session *session,
+                         const uint8_t *bytes, size_t size,
+                         uint8_t mac[SasProto_MAC_SIZE]);
 
 /* SAS_EAUTH unless sender, receiver and both incarnations are the expected
  * ones. */
@@ -122,6 +124,6 @@
 void SasProto_FreeBody(struct sas_proto_message *message);
 
 /* The lower-case name of a procedure, "unknown" otherwise. */
-const char *SasProto_GetName(uint32_t procedure);
+const char *SasProto_GetProcedureName(uint32_t procedure);
 
 #endif
--- a/packages/proto/include/sas/tag.h
+++ b/packages/proto/include/sas/tag.h
@@ -2,7 +2,7 @@
  * the shared key.
  *
  * A tag is the hex form of HMAC-SHA-256 over a nonce and the bytes. The
- * requesting side draws the nonce, SasTag_NONCE_SIZE - 1 characters, so a
+ * requesting side generates the nonce, SasTag_NONCE_SIZE - 1 characters, so a
  * response with a tag over that nonce can't be a replay.
  */
 #ifndef SAS_TAG_H
@@ -18,17 +18,17 @@
 #define SasTag_SIZE (2 * SasProto_MAC_SIZE + 1)
 #define SasTag_NONCE_SIZE (SAS_RPC_NONCE_SIZE + 1)
 
-/* Draws a nonce of hex digits. */
-void SasTag_DrawNonce(GRand *random, char nonce[SasTag_NONCE_SIZE]);
+/* Generates a nonce of hex digits. */
+void SasTag_GenerateNonce(GRand *random, char nonce[SasTag_NONCE_SIZE]);
 
 /* Computes a tag; false if OpenSSL fails. Characters of the nonce beyond
  * SAS_RPC_NONCE_SIZE are ignored. */
-bool SasTag_Make(struct sas_proto_key *key, const char *nonce,
-                 const void *bytes, size_t size, char tag[SasTag_SIZE]);
+bool SasTag_Compute(struct sas_proto_key *key, const char *nonce,
+                    const void *bytes, size_t size, char tag[SasTag_SIZE]);
 
 /* Verifies a tag in constant time: the time doesn't depend on where a wrong
  * tag differs. False if nonce or tag is NULL. */
-bool SasTag_Check(struct sas_proto_key *key, const char *nonce,
-                  const void *bytes, size_t size, const char *tag);
+bool SasTag_Verify(struct sas_proto_key *key, const char *nonce,
+                   const void *bytes, size_t size, const char *tag);
 
 #endif
--- a/packages/proto/src/proto.c
+++ b/packages/proto/src/proto.c
@@ -134,7 +134,7 @@
     if (encoded_size > MAX_BODY) {
         SasError_Set(error, SAS_ECAPACITY, "proto.encode", "",
                      "a %s message of %zu bytes is too long",
-                     SasProto_GetName(copy.procedure), encoded_size);
+                     SasProto_GetProcedureName(copy.procedure), encoded_size);
         return NULL;
     }
     g_autofree uint8_t *bytes = g_malloc(encoded_size + 1);
@@ -143,7 +143,7 @@
     if (!codec(&xdr, &copy.body)) {
         SasError_Set(error, SAS_EINVAL, "proto.encode", "",
                      "a list of the %s message exceeds its bound",
-                     SasProto_GetName(copy.procedure));
+                     SasProto_GetProcedureName(copy.procedure));
         return NULL;
     }
     *size = xdr_getpos(&xdr);
@@ -191,7 +191,7 @@
         memcpy(bytes + length, body, body_size);
     }
     length += body_size;
-    if (!SasProto_Sign(key, session, bytes, length, bytes + length)) {
+    if (!SasProto_ComputeMac(key, session, bytes, length, bytes + length)) {
         SasError_Set(error, SAS_EUNAVAILABLE, "proto.encode", "",
                      "OpenSSL can't compute the HMAC");
         return NULL;
@@ -202,10 +202,11 @@
 }
 
 int
-SasProto_Open(struct sas_proto_key *key,
-              const struct sas_proto_session *session, const uint8_t *record,
-              size_t size, struct sas_proto_message *message,
-              struct sas_error *error)
+SasProto_Authenticate(struct sas_proto_key *key,
+                      const struct sas_proto_session *session,
+                      const uint8_t *record, size_t size,
+                      struct sas_proto_message *message,
+                      struct sas_error *error)
 {
     uint8_t mac[SasProto_MAC_SIZE];
     memset(message, 0, sizeof(*message));
@@ -215,7 +216,7 @@
         return -1;
     }
     size_t length = size - SasProto_MAC_SIZE;
-    if (!SasProto_Sign(key, session, record, length, mac) ||
+    if (!SasProto_ComputeMac(key, session, record, length, mac) ||
         CRYPTO_memcmp(mac, record + length, SasProto_MAC_SIZE) != 0) {
         SasError_Set(error, SAS_EAUTH, "proto.open", "",
                      "the HMAC of a record does not match");
@@ -239,9 +240,10 @@
 }
 
 bool
-SasProto_Sign(struct sas_proto_key *key,
-              const struct sas_proto_session *session, const uint8_t *bytes,
-              size_t size, uint8_t mac[SasProto_MAC_SIZE])
+SasProto_ComputeMac(struct sas_proto_key *key,
+                    const struct sas_proto_session *session,
+                    const uint8_t *bytes, size_t size,
+                    uint8_t mac[SasProto_MAC_SIZE])
 {
     size_t mac_size = 0;
     EVP_MAC_CTX *context = EVP_MAC_CTX_dup(key->keyed);
@@ -299,7 +301,7 @@
         SasProto_FreeBody(message);
         SasError_Set(error, SAS_EINVAL, "proto.decode", "",
                      "the body of a %s message is malformed",
-                     SasProto_GetName(message->procedure));
+                     SasProto_GetProcedureName(message->procedure));
         return -1;
     }
     return 0;
@@ -315,7 +317,7 @@
 }
 
 const char *
-SasProto_GetName(uint32_t procedure)
+SasProto_GetProcedureName(uint32_t procedure)
 {
     return is_procedure(procedure) ? procedures[procedure].name : "unknown";
 }
--- a/packages/proto/tests/test_proto.c
+++ b/packages/proto/tests/test_proto.c
@@ -46,7 +46,7 @@
 open_record(const uint8_t *bytes, size_t size,
             struct sas_proto_message *message, struct sas_error *error)
 {
-    return SasProto_Open(key, &session, bytes, size, message, error);
+    return SasProto_Authenticate(key, &session, bytes, size, message, error);
 }
 
 /* Puts a body, valid or not, into a message with the header of `like`, then
@@ -196,13 +196,13 @@
     g_autofree uint8_t *bytes = encode(&sample, &size);
     struct sas_proto_key *wrong =
         SasProto_NewKey((const uint8_t *)"0123456789abcdeF", 16, NULL);
-    assert_int_equal(SasProto_Open(wrong, &session, bytes, size, &got, &error),
-                     -1);
+    assert_int_equal(
+        SasProto_Authenticate(wrong, &session, bytes, size, &got, &error), -1);
     assert_int_equal(error.code, SAS_EAUTH);
     SasProto_FreeKey(wrong);
     other.answerer_nonce[15] ^= 1;
-    assert_int_equal(SasProto_Open(key, &other, bytes, size, &got, &error),
-                     -1);
+    assert_int_equal(
+        SasProto_Authenticate(key, &other, bytes, size, &got, &error), -1);
     assert_int_equal(error.code, SAS_EAUTH);
     assert_null(SasProto_NewKey((const uint8_t *)"short", 5, &error));
     assert_null(SasProto_LoadKey("/nonexistent/key", &error));
--- a/packages/proto/tests/test_tag.c
+++ b/packages/proto/tests/test_tag.c
@@ -23,16 +23,16 @@
     struct sas_proto_key *key = make_key("sixteen-characters");
     struct sas_proto_key *other = make_key("sixteen-characterz");
     char tag[SasTag_SIZE];
-    assert_true(SasTag_Make(key, "0123456789abcdef", "rows", 4, tag));
-    assert_true(SasTag_Check(key, "0123456789abcdef", "rows", 4, tag));
-    assert_false(SasTag_Check(other, "0123456789abcdef", "rows", 4, tag));
-    assert_false(SasTag_Check(key, "0123456789abcdee", "rows", 4, tag));
-    assert_false(SasTag_Check(key, "0123456789abcdef", "rowz", 4, tag));
-    assert_false(SasTag_Check(key, NULL, "rows", 4, tag));
-    assert_false(SasTag_Check(key, "0123456789abcdef", "rows", 4, NULL));
-    assert_false(SasTag_Check(key, "0123456789abcdef", "rows", 4, "ab"));
+    assert_true(SasTag_Compute(key, "0123456789abcdef", "rows", 4, tag));
+    assert_true(SasTag_Verify(key, "0123456789abcdef", "rows", 4, tag));
+    assert_false(SasTag_Verify(other, "0123456789abcdef", "rows", 4, tag));
+    assert_false(SasTag_Verify(key, "0123456789abcdee", "rows", 4, tag));
+    assert_false(SasTag_Verify(key, "0123456789abcdef", "rowz", 4, tag));
+    assert_false(SasTag_Verify(key, NULL, "rows", 4, tag));
+    assert_false(SasTag_Verify(key, "0123456789abcdef", "rows", 4, NULL));
+    assert_false(SasTag_Verify(key, "0123456789abcdef", "rows", 4, "ab"));
     tag[0] = tag[0] == 'a' ? 'b' : 'a';
-    assert_false(SasTag_Check(key, "0123456789abcdef", "rows", 4, tag));
+    assert_false(SasTag_Verify(key, "0123456789abcdef", "rows", 4, tag));
     SasProto_FreeKey(key);
     SasProto_FreeKey(other);
 }
@@ -44,8 +44,8 @@
     GRand *random = g_rand_new_with_seed(1);
     char one[SasTag_NONCE_SIZE];
     char two[SasTag_NONCE_SIZE];
-    SasTag_DrawNonce(random, one);
-    SasTag_DrawNonce(random, two);
+    SasTag_GenerateNonce(random, one);
+    SasTag_GenerateNonce(random, two);
     assert_int_equal(strlen(one), SasTag_NONCE_SIZE - 1);
     assert_string_not_equal(one, two);
     g_rand_free(random);
--- a/packages/store/include/sas/store.h
+++ b/packages/store/include/sas/store.h
@@ -53,23 +53,23 @@
 };
 
 /* Table rows and objects have separate key namespaces. */
-enum sas_store_space {
+enum sas_store_namespace {
     SAS_STORE_TABLE,
     SAS_STORE_OBJECT
 };
 
 /* The condition of a write. */
 enum sas_store_condition {
-    SAS_STORE_ABSENT, /* only if the key does not exist */
-    SAS_STORE_MATCH   /* only if its ETag is the given one */
+    SAS_STORE_IF_ABSENT, /* only if the key does not exist */
+    SAS_STORE_IF_MATCH   /* only if its ETag is the given one */
 };
 
 struct sas_store;
 
 struct sas_store_vtable {
-    void (*read)(struct sas_store *store, enum sas_store_space space,
+    void (*read)(struct sas_store *store, enum sas_store_namespace space,
                  const char *key, struct sas_store_call *call);
-    void (*write)(struct sas_store *store, enum sas_store_space space,
+    void (*write)(struct sas_store *store, enum sas_store_namespace space,
                   const char *key, const char *value, size_t size,
                   enum sas_store_condition condition, const char *etag,
                   struct sas_store_call *call);
@@ -89,10 +89,10 @@
 void SasStore_Close(struct sas_store *store);
 
 /* Read a key, or write it if the condition holds. value and etag of a write
- * are copied; etag is ignored with SAS_STORE_ABSENT. */
-void SasStore_Read(struct sas_store *store, enum sas_store_space space,
+ * are copied; etag is ignored with SAS_STORE_IF_ABSENT. */
+void SasStore_Read(struct sas_store *store, enum sas_store_namespace space,
                    const char *key, struct sas_store_call *call);
-void SasStore_Write(struct sas_store *store, enum sas_store_space space,
+void SasStore_Write(struct sas_store *store, enum sas_store_namespace space,
                     const char *key, const char *value, size_t size,
                     enum sas_store_condition condition, const char *etag,
                     struct sas_store_call *call);
--- a/packages/store/src/http_store.c
+++ b/packages/store/src/http_store.c
@@ -271,30 +271,31 @@
 }
 
 static const char *
-get_space_name(enum sas_store_space space)
+get_space_name(enum sas_store_namespace space)
 {
     return space == SAS_STORE_TABLE ? "table/" : "objects/";
 }
 
 static void
-http_read(struct sas_store *base, enum sas_store_space space, const char *key,
-          struct sas_store_call *call)
+http_read(struct sas_store *base, enum sas_store_namespace space,
+          const char *key, struct sas_store_call *call)
 {
     enqueue((struct http_store *)base,
             create_operation(base, get_space_name(space), key, call));
 }
 
 static void
-http_write(struct sas_store *base, enum sas_store_space space, const char *key,
-           const char *value, size_t size, enum sas_store_condition condition,
-           const char *etag, struct sas_store_call *call)
+http_write(struct sas_store *base, enum sas_store_namespace space,
+           const char *key, const char *value, size_t size,
+           enum sas_store_condition condition, const char *etag,
+           struct sas_store_call *call)
 {
     struct operation *operation =
         create_operation(base, get_space_name(space), key, call);
     operation->is_write = true;
     operation->value = g_memdup2(value, size);
     operation->size = size;
-    bool absent = condition == SAS_STORE_ABSENT;
+    bool absent = condition == SAS_STORE_IF_ABSENT;
     snprintf(operation->condition_name, sizeof(operation->condition_name),
              "%s", absent ? "If-None-Match" : "If-Match");
     snprintf(operation->condition_value, sizeof(operation->condition_value),
--- a/packages/store/src/memory_store.c
+++ b/packages/store/src/memory_store.c
@@ -70,13 +70,13 @@
 }
 
 static char *
-create_row_key(enum sas_store_space space, const char *key)
+create_row_key(enum sas_store_namespace space, const char *key)
 {
     return g_strdup_printf("%c/%s", space == SAS_STORE_TABLE ? 't' : 'o', key);
 }
 
 static void
-memory_read(struct sas_store *base, enum sas_store_space space,
+memory_read(struct sas_store *base, enum sas_store_namespace space,
             const char *key, struct sas_store_call *call)
 {
     struct memory_store *store = (struct memory_store *)base;
@@ -91,7 +91,7 @@
 }
 
 static void
-memory_write(struct sas_store *base, enum sas_store_space space,
+memory_write(struct sas_store *base, enum sas_store_namespace space,
              const char *key, const char *value, size_t size,
              enum sas_store_condition condition, const char *etag,
              struct sas_store_call *call)
@@ -105,7 +105,7 @@
                  row->version);
     }
     bool condition_holds =
-        condition == SAS_STORE_ABSENT
+        condition == SAS_STORE_IF_ABSENT
             ? row == NULL
             : row != NULL && strcmp(current_etag, etag) == 0;
     if (!condition_holds) {
--- a/packages/store/src/store.c
+++ b/packages/store/src/store.c
@@ -9,14 +9,14 @@
 }
 
 void
-SasStore_Read(struct sas_store *store, enum sas_store_space space,
+SasStore_Read(struct sas_store *store, enum sas_store_namespace space,
               const char *key, struct sas_store_call *call)
 {
     store->vtable->read(store, space, key, call);
 }
 
 void
-SasStore_Write(struct sas_store *store, enum sas_store_space space,
+SasStore_Write(struct sas_store *store, enum sas_store_namespace space,
                const char *key, const char *value, size_t size,
                enum sas_store_condition condition, const char *etag,
                struct sas_store_call *call)
--- a/packages/store/tests/test_store.c
+++ b/packages/store/tests/test_store.c
@@ -47,16 +47,16 @@
     uv_loop_init(&loop);
     struct sas_store *store = SasStore_OpenMemory(&loop);
     struct reply first =
-        write_row(&loop, store, "one", SAS_STORE_ABSENT, NULL);
+        write_row(&loop, store, "one", SAS_STORE_IF_ABSENT, NULL);
     assert_int_equal(first.status, SAS_STORE_OK);
     struct reply again =
-        write_row(&loop, store, "two", SAS_STORE_ABSENT, NULL);
+        write_row(&loop, store, "two", SAS_STORE_IF_ABSENT, NULL);
     assert_int_equal(again.status, SAS_STORE_CONFLICT);
     struct reply changed =
-        write_row(&loop, store, "two", SAS_STORE_MATCH, first.etag);
+        write_row(&loop, store, "two", SAS_STORE_IF_MATCH, first.etag);
     assert_int_equal(changed.status, SAS_STORE_OK);
     struct reply late =
-        write_row(&loop, store, "three", SAS_STORE_MATCH, first.etag);
+        write_row(&loop, store, "three", SAS_STORE_IF_MATCH, first.etag);
     assert_int_equal(late.status, SAS_STORE_CONFLICT);
     struct reply read = {.call.on_result = save_reply, .loop = &loop};
     SasStore_Read(store, SAS_STORE_TABLE, "config/head", &read.call);
@@ -84,7 +84,8 @@
     uv_tcp_getsockname(&bound, (struct sockaddr *)&any, &size);
     struct sas_address address = {"127.0.0.1", ntohs(any.sin_port)};
     struct sas_store *store = SasStore_OpenHttp(&loop, &address);
-    struct reply reply = write_row(&loop, store, "x", SAS_STORE_ABSENT, NULL);
+    struct reply reply =
+        write_row(&loop, store, "x", SAS_STORE_IF_ABSENT, NULL);
     assert_int_equal(reply.status, SAS_STORE_UNAVAILABLE);
     SasStore_Close(store);
     uv_close((uv_handle_t *)&bound, NULL);
--- a/tools/bench_gossip.c
+++ b/tools/bench_gossip.c
@@ -494,8 +494,9 @@
         g_autofree uint8_t *record =
             SasProto_Encode(get_key(), &session, &message, &size, NULL);
         struct sas_proto_message got;
-        SasProto_Open(get_key(), &session, record + SasRecord_MARK_SIZE,
-                      size - SasRecord_MARK_SIZE, &got, NULL);
+        SasProto_Authenticate(get_key(), &session,
+                              record + SasRecord_MARK_SIZE,
+                              size - SasRecord_MARK_SIZE, &got, NULL);
         SasProto_Decode(&got, NULL);
         for (int member_id = 0; member_id < count; member_id++) {
             struct sas_member_update row = {.member_id = member_id,
