--- a/packages/node/src/h2o_server.c
+++ b/packages/node/src/h2o_server.c
@@ -134,10 +134,10 @@
                               struct sas_metrics *metrics, const char *port)
 {
     server->metrics = metrics;
-    server->http_errors =
-        SasMetrics_Register(metrics, "sas_http_errors_total", "port", port,
-                            "Answers to what is no request or too large");
-    server->refused_connections = SasMetrics_Register(
+    server->http_errors = SasMetrics_RegisterCounter(
+        metrics, "sas_http_errors_total", "port", port,
+        "Answers to what is no request or too large");
+    server->refused_connections = SasMetrics_RegisterCounter(
         metrics, "sas_connections_refused_total", "port", port,
         "Connections closed because there were too many");
 }
@@ -536,7 +536,7 @@
                     const char *body, size_t size)
 {
     req->res.status = status;
-    req->res.reason = SasHttp_GetReason(status);
+    req->res.reason = SasHttp_GetReasonPhrase(status);
     SasH2oServer_AddHeader(req, "content-type", content_type);
     /* Without a length h2o ends answers with a status of 400 and more by
      * closing the connection, and a client can't tell them from truncated
